--- a/crates/mustardpin-node/src/control.rs
+++ b/crates/mustardpin-node/src/control.rs
@@ -8,14 +8,14 @@
 use mustardpin_world::{
     Options, World,
     event::{Event, Proposal},
-    note::Note,
+    log::Record,
 };
 use tokio::sync::oneshot;
 
 use crate::{
     admin::Answer,
     clock::Clock,
-    log::{self, Journal},
+    log::{self, LogSink},
     store::Store,
     traffic::Traffic,
 };
@@ -33,7 +33,7 @@
     /// Things happened, in this order.
     Events(Vec<Event>),
     /// Something that the world has no part in is worth a log line.
-    Note(Note),
+    Log(Record),
     /// An operator proposed a change.
     Proposed(Proposal, oneshot::Sender<Answer>),
     /// Reads the tables between two ticks.
@@ -53,7 +53,7 @@
     /// The traffic side as a whole.
     pub traffic: Box<dyn Traffic>,
     /// Log lines.
-    pub journal: Box<dyn Journal>,
+    pub log: Box<dyn LogSink>,
 }
 
 /// The sending end of the control thread's channel.
@@ -89,8 +89,8 @@
     }
 
     /// Writes a log line.
-    pub fn note(&self, note: Note) {
-        self.send(Input::Note(note));
+    pub fn log(&self, record: Record) {
+        self.send(Input::Log(record));
     }
 
     /// Puts other settings in force.
--- a/crates/mustardpin-node/src/control/thread.rs
+++ b/crates/mustardpin-node/src/control/thread.rs
@@ -94,9 +94,9 @@
                 self.proposals.insert(self.last_proposal, answer);
                 events.push(Event::Proposed(self.last_proposal, proposal));
             }
-            Input::Note(note) => self.borders.journal.write(note),
+            Input::Log(record) => self.borders.log.write(record),
             Input::Reloaded(log, options) => {
-                self.borders.journal.reload(log);
+                self.borders.log.reload(log);
                 events.push(Event::Reloaded(*options));
             }
             Input::Report(read) => read(&self.world),
@@ -136,7 +136,7 @@
                 return self.borders.store.ask(ticket, operation);
             }
             Command::Answer(ticket, answer) => return self.answer(ticket, answer),
-            Command::Log(note) => return self.borders.journal.write(note),
+            Command::Log(record) => return self.borders.log.write(record),
             Command::Wake(at) => {
                 self.wake = at;
                 return;
--- a/crates/mustardpin-node/src/log.rs
+++ b/crates/mustardpin-node/src/log.rs
@@ -11,7 +11,7 @@
 
 use derive_more::{Display, Error, From};
 use mustardpin_settings::settings;
-use mustardpin_world::note::{Level, Note};
+use mustardpin_world::log::{Level, Record};
 
 use self::{budget::Budget, writer::Writer};
 
@@ -30,9 +30,9 @@
 }
 
 /// Takes log lines.
-pub trait Journal: Send {
+pub trait LogSink: Send {
     /// Writes a line, or leaves it out. Never waits.
-    fn write(&mut self, note: Note);
+    fn write(&mut self, record: Record);
 
     /// From now on, lines are chosen by these options. The format stays.
     fn reload(&mut self, _options: Options) {}
@@ -97,11 +97,11 @@
     /// If the output cannot be used, or the machine gives no thread.
     ///
     /// ```
-    /// use mustardpin_node::log::{Journal as _, Log, Options, Output};
-    /// use mustardpin_world::note::{Level, Note};
+    /// use mustardpin_node::log::{LogSink as _, Log, Options, Output};
+    /// use mustardpin_world::log::{Level, Record};
     ///
     /// let mut log = Log::open(Options::default(), Output::Standard)?;
-    /// log.write(Note::new(Level::Info, "started"));
+    /// log.write(Record::new(Level::Info, "started"));
     /// # Ok::<(), mustardpin_node::log::Error>(())
     /// ```
     pub fn open(options: Options, output: Output) -> Result<Log, Error> {
@@ -111,23 +111,23 @@
     }
 }
 
-impl Journal for Log {
-    fn write(&mut self, note: Note) {
-        if note.level < self.options.level {
+impl LogSink for Log {
+    fn write(&mut self, record: Record) {
+        if record.level < self.options.level {
             return;
         }
-        if !self.budget.take(Instant::now(), note.request.is_some()) {
+        if !self.budget.take(Instant::now(), record.request.is_some()) {
             self.left_out += 1;
             return;
         }
         self.left_out += self.writer.take_failed();
         if self.left_out > 0 {
-            let left_out = Note::new(Level::Warn, "lines_left_out").with("count", self.left_out);
+            let left_out = Record::new(Level::Warn, "lines_left_out").with("count", self.left_out);
             if self.writer.send(left_out) {
                 self.left_out = 0;
             }
         }
-        if !self.writer.send(note) {
+        if !self.writer.send(record) {
             self.left_out += 1;
         }
     }
--- a/crates/mustardpin-node/src/node.rs
+++ b/crates/mustardpin-node/src/node.rs
@@ -119,14 +119,14 @@
             clock: Arc::clone(&clock) as _,
             store: (launch.store)(control.clone()),
             traffic: Box::new(dispatcher),
-            journal: Box::new(log::Log::open(launch.log, log::Output::Standard)?),
+            log: Box::new(log::Log::open(launch.log, log::Output::Standard)?),
         };
         let identity = mustardpin_world::Identity { announcement: announcement.clone() };
         let world = World::new(identity, launch.options, rand::random());
         let control_thread = control::spawn(world, borders, inputs)?;
         handle.spawn(dispatching);
         handle.spawn(Arc::clone(&board).hand_over_events());
-        handle.spawn(Arc::clone(&board).beat());
+        handle.spawn(Arc::clone(&board).send_lag_probes());
         for &seed in &launch.seeds {
             handle.spawn(traffic::seek(Arc::clone(&board), seed));
         }
--- a/crates/mustardpin-node/src/reload.rs
+++ b/crates/mustardpin-node/src/reload.rs
@@ -3,7 +3,7 @@
 use std::{path::PathBuf, time::Duration};
 
 use mustardpin_settings::Settings;
-use mustardpin_world::note::{Level, Note};
+use mustardpin_world::log::{Level, Record};
 use tokio::{
     signal::unix::{SignalKind, signal},
     time,
@@ -67,10 +67,10 @@
         }
         match Settings::parse(&self.file, &text) {
             Ok(settings) => {
-                let note = Note::new(Level::Info, "settings_reloaded")
+                let record = Record::new(Level::Info, "settings_reloaded")
                     .with("changed", has_changed)
                     .with("asked", is_asked);
-                self.control.note(note);
+                self.control.log(record);
                 self.control.reload(settings.log.into(), settings.options);
             }
             Err(error) => self.refuse(&error),
@@ -80,7 +80,7 @@
 
     /// The settings in force stay so.
     fn refuse(&self, error: &dyn std::error::Error) {
-        let note = Note::new(Level::Error, "settings_refused").with("cause", error.to_string());
-        self.control.note(note);
+        let record = Record::new(Level::Error, "settings_refused").with("cause", error.to_string());
+        self.control.log(record);
     }
 }
--- a/crates/mustardpin-node/src/traffic.rs
+++ b/crates/mustardpin-node/src/traffic.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use mustardpin_world::{
-    command::TargetPlace,
+    command::TargetAddress,
     config::Callers,
     id::NodeId,
     message::Message,
@@ -71,7 +71,7 @@
     /// Keep no connection to this peer any more.
     Unlink(NodeId),
     /// The own target is here, or nowhere.
-    Target(Option<TargetPlace>),
+    Target(Option<TargetAddress>),
     /// Say this on every answer to a peer.
     Publish {
         /// What to say.
--- a/crates/mustardpin-node/src/traffic/board.rs
+++ b/crates/mustardpin-node/src/traffic/board.rs
@@ -14,7 +14,7 @@
     Event, Millis,
     config::Callers,
     refusal::Refusal,
-    request::{ForwardEnd, Load, Request, RunEnd, Ticket, passes_unasked},
+    request::{ForwardEnd, Load, Request, RunEnd, Ticket, is_final_status},
 };
 use slotmap::{Key as _, KeyData, SlotMap};
 use tokio::sync::watch;
@@ -33,8 +33,9 @@
     },
 };
 
-/// The time between two beats. Many pass before a caller gives up, and few of them cost anything.
-const BEAT: Millis = Millis(100);
+/// The time between two lag probes. Many pass before a caller gives up, and few of them cost
+/// anything.
+const LAG_PROBE_INTERVAL: Millis = Millis(100);
 
 /// What the traffic side is told when it starts.
 pub struct Setup {
@@ -100,13 +101,13 @@
         self.outbox.hand_over().await;
     }
 
-    /// Sends beats until the runtime ends, by which the control thread sees how far the node is
-    /// behind.
-    pub async fn beat(self: Arc<Board>) {
+    /// Sends lag probes until the runtime ends, by which the control thread sees how far the node
+    /// is behind.
+    pub async fn send_lag_probes(self: Arc<Board>) {
         loop {
-            let due = self.clock.now() + BEAT;
-            tokio::time::sleep(Duration::from_millis(BEAT.0)).await;
-            self.outbox.push(Event::Beat(due));
+            let due = self.clock.now() + LAG_PROBE_INTERVAL;
+            tokio::time::sleep(Duration::from_millis(LAG_PROBE_INTERVAL.0)).await;
+            self.outbox.push(Event::LagProbe(due));
         }
     }
 
@@ -237,7 +238,7 @@
             return;
         };
         // The node that took the request from its caller decides on it.
-        if !passes_unasked(answer.status) && !exchange.request.is_from_peer {
+        if !is_final_status(answer.status) && !exchange.request.is_from_peer {
             exchange.held = Some(answer);
             return;
         }
--- a/crates/mustardpin-node/src/traffic/dispatch.rs
+++ b/crates/mustardpin-node/src/traffic/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use mustardpin_wire::dialect::Entry;
+use mustardpin_wire::dialect::EntryHeaders;
 use mustardpin_world::request::{Forward, ForwardEnd, Run, RunEnd, Verdict};
 use tokio::sync::{mpsc, oneshot};
 
@@ -106,8 +106,8 @@
 fn entry_fields(board: &Board, request: &Outbound, team: Option<&str>) -> Vec<u8> {
     let mut fields = Vec::new();
     if !request.is_from_peer {
-        let entry = Entry { caller_service: &board.service, team };
-        board.dialect.write_entry(entry, &mut fields);
+        let entry = EntryHeaders { caller_service: &board.service, team };
+        board.dialect.write_entry_headers(entry, &mut fields);
     }
     fields
 }
--- a/crates/mustardpin-node/src/traffic/intake.rs
+++ b/crates/mustardpin-node/src/traffic/intake.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use mustardpin_http::{Headers, head};
 use mustardpin_wire::{
-    dialect::{Asked, Port},
+    dialect::{ParsedRequest, Port},
     fingerprint, scrub,
 };
 use mustardpin_world::{
@@ -41,11 +41,11 @@
     head: &head::Request,
     body: Body,
 ) -> Result<Opened, Box<Answer>> {
-    let asked = board.dialect.read_request(port, head);
-    let asked = asked.map_err(|error| Box::new(refusal(board, error.reason, None)))?;
-    let expires = asked.timeout.map(|timeout| board.clock.now() + timeout);
+    let parsed = board.dialect.read_request(port, head);
+    let parsed = parsed.map_err(|error| Box::new(refusal(board, error.reason, None)))?;
+    let expires = parsed.timeout.map(|timeout| board.clock.now() + timeout);
     let (caller, answer) = oneshot::channel();
-    let outbound = outbound(board, head, &asked, body);
+    let outbound = outbound(board, head, &parsed, body);
     let (id, fingerprint) = (outbound.id.clone(), outbound.fingerprint);
     let exchange = Exchange {
         request: Arc::new(outbound),
@@ -57,17 +57,17 @@
     let path = head.target().split('?').next().unwrap_or_default();
     let request = |ticket| Request {
         ticket,
-        origin: asked.origin,
+        origin: parsed.origin,
         id,
-        host: asked.host,
+        host: parsed.host,
         method: head.method().into(),
         path: path.into(),
         fingerprint,
-        timeout: asked.timeout,
+        timeout: parsed.timeout,
     };
     match board.open(exchange, request) {
         Some(ticket) => Ok(Opened { ticket, answer }),
-        None => Err(Box::new(refusal(board, Reason::InProgressLimit, asked.timeout))),
+        None => Err(Box::new(refusal(board, Reason::InProgressLimit, parsed.timeout))),
     }
 }
 
@@ -79,16 +79,21 @@
     trailers: &Headers,
 ) -> Bytes {
     // A request whose head cannot be read goes nowhere.
-    let Ok(asked) = board.dialect.read_request(port, head) else { return Bytes::new() };
+    let Ok(parsed) = board.dialect.read_request(port, head) else { return Bytes::new() };
     let mut lines = Vec::new();
-    scrub::copy(trailers, |name, value| board.dialect.passes(&asked, name, value), &mut lines);
+    scrub::copy(
+        trailers,
+        |name, value| board.dialect.forwards_request_header(&parsed, name, value),
+        &mut lines,
+    );
     lines.into()
 }
 
 /// The request as it goes on.
-fn outbound(board: &Board, head: &head::Request, asked: &Asked, body: Body) -> Outbound {
+fn outbound(board: &Board, head: &head::Request, parsed: &ParsedRequest, body: Body) -> Outbound {
     let mut fields = Vec::with_capacity(256);
-    let passes = |name: &str, value: &[u8]| board.dialect.passes(asked, name, value);
+    let passes =
+        |name: &str, value: &[u8]| board.dialect.forwards_request_header(parsed, name, value);
     scrub::copy(&head.headers, passes, &mut fields);
     let begin = match &body {
         Body::Whole(bytes) => bytes,
@@ -97,7 +102,7 @@
     };
     let fingerprint = fingerprint::of(&board.service, head.method(), head.target(), begin);
     let head = OutboundHead {
-        id: asked.id.clone().unwrap_or_else(random_id),
+        id: parsed.id.clone().unwrap_or_else(random_id),
         method: head.method().into(),
         target: head.target().into(),
         fields: fields.into(),
--- a/crates/mustardpin-node/src/traffic/link/outgoing.rs
+++ b/crates/mustardpin-node/src/traffic/link/outgoing.rs
@@ -388,7 +388,7 @@
 fn answered(
     board: &Arc<Board>,
     link: &Outgoing,
-    head: frame::Answer,
+    head: frame::Response,
     payload: Bytes,
 ) -> Result<(), Error> {
     let (fields, whole) = frame::split(payload, head.fields)?;
--- a/crates/mustardpin-node/src/traffic/sender.rs
+++ b/crates/mustardpin-node/src/traffic/sender.rs
@@ -94,7 +94,7 @@
             }
         };
         let length = fields.len() as u32;
-        let head = frame::Answer { stream, status, retries, load, fields: length, body: kind };
+        let head = frame::Response { stream, status, retries, load, fields: length, body: kind };
         self.send(&Head::Answer(head), &[&fields, &whole]);
         if let Some(rest) = rest {
             tokio::spawn(Arc::clone(self).send_chunks(stream, rest));
--- a/crates/mustardpin-node/src/traffic/target.rs
+++ b/crates/mustardpin-node/src/traffic/target.rs
@@ -10,7 +10,7 @@
 };
 
 use compact_str::CompactString;
-use mustardpin_world::command::TargetPlace;
+use mustardpin_world::command::TargetAddress;
 
 use self::connection::Connection;
 
@@ -55,7 +55,7 @@
     }
 
     /// From now on the target is here, or nowhere.
-    pub(super) fn set(&self, place: Option<TargetPlace>) {
+    pub(super) fn set(&self, place: Option<TargetAddress>) {
         let place = place.and_then(|place| Some((place.address.parse().ok()?, place.instance)));
         let mut state = self.state();
         state.generation += 1;
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -11,7 +11,7 @@
     write,
 };
 use mustardpin_wire::{
-    dialect::{Delivery, Entry, Meaning},
+    dialect::{DeliveryHeaders, EntryHeaders, ResponseKind},
     scrub,
 };
 use mustardpin_world::{
@@ -140,12 +140,12 @@
     write::request_line(&mut out, &request.method, &request.target);
     out.extend_from_slice(&request.fields);
     if !request.is_from_peer {
-        let entry = Entry { caller_service: &board.service, team: run.team.as_deref() };
-        board.dialect.write_entry(entry, &mut out);
+        let entry = EntryHeaders { caller_service: &board.service, team: run.team.as_deref() };
+        board.dialect.write_entry_headers(entry, &mut out);
     }
     let left = run.deadline - board.clock.now();
-    let delivery = Delivery { instance: &place.instance, token: run.token, left };
-    board.dialect.write_delivery(delivery, &mut out);
+    let delivery = DeliveryHeaders { instance: &place.instance, token: run.token, left };
+    board.dialect.write_delivery_headers(delivery, &mut out);
     match body {
         Kind::Chunks => write::field(&mut out, "transfer-encoding", b"chunked"),
         Kind::Length(length) => write::number(&mut out, "content-length", length),
@@ -276,22 +276,22 @@
 
     /// Takes an answer in whose head has come.
     async fn answer(&mut self, head: Response, is_sent: bool) -> Result<Outcome, Failure> {
-        let meaning = self.board.dialect.read_answer(&self.request.id, &head);
+        let meaning = self.board.dialect.read_response(&self.request.id, &head);
         let framing = Framing::of_response(&self.request.method, head.status, &head.headers)?;
         self.connection.note_keep_alive(&head.headers);
         let may_keep = is_sent && head.is_persistent() && framing != Framing::UntilClose;
         let load = match meaning {
-            Meaning::Unusable(problem) => return Err(Failure::Unusable(problem)),
-            Meaning::Declined => {
+            ResponseKind::Unusable(problem) => return Err(Failure::Unusable(problem)),
+            ResponseKind::Declined => {
                 self.may_keep = may_keep && self.skip_body(framing).await;
                 return Ok(RunEnd::Declined.into());
             }
-            Meaning::Misdirected => return Ok(RunEnd::Misdirected.into()),
-            Meaning::Answer { load } => load,
+            ResponseKind::Misdirected => return Ok(RunEnd::Misdirected.into()),
+            ResponseKind::Response { load } => load,
         };
         let mut fields = Vec::with_capacity(256);
         let dialect = &self.board.dialect;
-        scrub::copy(&head.headers, |name, _| dialect.answer_passes(name), &mut fields);
+        scrub::copy(&head.headers, |name, _| dialect.forwards_response_header(name), &mut fields);
         if framing == Framing::Empty
             && let Some(length) = head.headers.get("content-length")
         {
@@ -378,7 +378,11 @@
                 Decoded::Data(bytes) => return Ok(Piece::Data(bytes)),
                 Decoded::Trailers(trailers) => {
                     let mut lines = Vec::new();
-                    scrub::copy(&trailers, |name, _| dialect.answer_passes(name), &mut lines);
+                    scrub::copy(
+                        &trailers,
+                        |name, _| dialect.forwards_response_header(name),
+                        &mut lines,
+                    );
                     return Ok(Piece::End(lines.into()));
                 }
                 Decoded::End => return Ok(Piece::End(Bytes::new())),
--- a/crates/mustardpin-node/tests/testsuite/control.rs
+++ b/crates/mustardpin-node/tests/testsuite/control.rs
@@ -12,14 +12,14 @@
 use mustardpin_node::{
     clock::{Clock, Monotonic},
     control::{self, Borders, Handle},
-    log::Journal,
+    log::LogSink,
     store::Store,
     traffic::{Order, Traffic},
 };
 use mustardpin_world::{
     Identity, Millis, Options, World,
     id::NodeId,
-    note::Note,
+    log::Record,
     store::{Announcement, Operation, Ticket},
 };
 
@@ -30,16 +30,20 @@
 pub struct Silence {
     clock: Monotonic,
     asked: Arc<AtomicUsize>,
-    notes: Arc<Mutex<Vec<Note>>>,
+    records: Arc<Mutex<Vec<Record>>>,
 }
 
 impl Silence {
     fn new() -> Silence {
-        Silence { clock: Monotonic::start(), asked: Arc::default(), notes: Arc::default() }
+        Silence { clock: Monotonic::start(), asked: Arc::default(), records: Arc::default() }
     }
 
-    fn has_noted(&self, event: &str) -> bool {
-        self.notes.lock().expect("no panic holds the lock").iter().any(|note| note.event == event)
+    fn has_logged(&self, event: &str) -> bool {
+        self.records
+            .lock()
+            .expect("no panic holds the lock")
+            .iter()
+            .any(|record| record.event == event)
     }
 }
 
@@ -54,9 +58,9 @@
     fn ask(&mut self, _: Ticket, _: Operation) {}
 }
 
-impl Journal for Silence {
-    fn write(&mut self, note: Note) {
-        self.notes.lock().expect("no panic holds the lock").push(note);
+impl LogSink for Silence {
+    fn write(&mut self, record: Record) {
+        self.records.lock().expect("no panic holds the lock").push(record);
     }
 }
 
@@ -79,7 +83,7 @@
         clock: Arc::new(silence.clone()),
         store: Box::new(silence.clone()),
         traffic: Box::new(silence.clone()),
-        journal: Box::new(silence.clone()),
+        log: Box::new(silence.clone()),
     };
     control::spawn(world, borders, inputs).expect("a thread");
     control
@@ -109,6 +113,6 @@
         let stay = control.report(|world| world.options().stop.stay);
         runtime.block_on(stay) == Ok(Millis(7))
     });
-    assert!(silence.has_noted("started"));
+    assert!(silence.has_logged("started"));
     control.halt();
 }
--- a/crates/mustardpin-node/tests/testsuite/fake/fleet.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/fleet.rs
@@ -15,12 +15,12 @@
     launch::{Addresses, Limits},
     log,
 };
-use mustardpin_wire::own::Own;
+use mustardpin_wire::native::Native;
 use mustardpin_world::{
     Millis, Options, World,
     config::{self, Importance},
     id::KeyDigest,
-    note::Level,
+    log::Level,
     options::{Roster, Stop},
 };
 use tokio::runtime::Runtime;
@@ -44,7 +44,7 @@
         addresses: Addresses::loopback(),
         fleet_credential: KeyDigest::of("fleet"),
         operator_credential: KeyDigest::of("operator"),
-        dialect: Arc::new(Own::new(service)),
+        dialect: Arc::new(Native::new(service)),
         store: Box::new(move |control| platform.client(control)),
         seeds: Vec::new(),
         log: log::Options { level: Level::Error, ..log::Options::default() },
--- a/crates/mustardpin-node/tests/testsuite/fake/platform.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/platform.rs
@@ -9,28 +9,28 @@
 use mustardpin_node::{control::Handle, store::Store};
 use mustardpin_world::{
     Event, config,
-    id::Position,
-    store::{Area, Name, News, Operation, Reply, Row, Ticket, Value},
+    id::StoreVersion,
+    store::{Area, Changes, Operation, Reply, Row, RowKey, Ticket, Value},
 };
 use tokio::{runtime, sync::watch, time};
 
-/// A store that answers at once, and tells of news as they come.
+/// A store that answers at once, and tells of changes as they come.
 #[derive(Clone)]
 pub struct Platform {
     table: Arc<Mutex<Table>>,
-    position: watch::Sender<u64>,
+    version: watch::Sender<u64>,
 }
 
 #[derive(Default)]
 struct Table {
-    position: Position,
-    rows: BTreeMap<Name, Row>,
+    version: StoreVersion,
+    rows: BTreeMap<RowKey, Row>,
 }
 
 impl Platform {
     /// A store with these rows of the configuration.
     pub fn new(rows: Vec<config::Row>) -> Platform {
-        let platform = Platform { table: Arc::default(), position: watch::Sender::new(0) };
+        let platform = Platform { table: Arc::default(), version: watch::Sender::new(0) };
         platform.write(rows);
         platform
     }
@@ -39,7 +39,7 @@
     pub fn write(&self, rows: Vec<config::Row>) {
         let puts = rows
             .into_iter()
-            .map(|row| (Name::Configuration(row.path()), Value::Configuration(row)));
+            .map(|row| (RowKey::Configuration(row.path()), Value::Configuration(row)));
         self.transact(&[], puts.collect(), Vec::new());
     }
 
@@ -55,51 +55,52 @@
 
     fn transact(
         &self,
-        expected: &[(Name, Position)],
-        puts: Vec<(Name, Value)>,
-        removals: Vec<Name>,
+        expected: &[(RowKey, StoreVersion)],
+        puts: Vec<(RowKey, Value)>,
+        removals: Vec<RowKey>,
     ) -> Reply {
         let mut table = self.table();
-        let holds = |(name, position): &(Name, Position)| {
-            let row = table.rows.get(name).filter(|row| row.value.is_some());
-            row.map_or(Position(0), |row| row.position) == *position
+        let holds = |(key, version): &(RowKey, StoreVersion)| {
+            let row = table.rows.get(key).filter(|row| row.value.is_some());
+            row.map_or(StoreVersion(0), |row| row.version) == *version
         };
         if !expected.iter().all(holds) {
             return Reply::Conflict;
         }
-        table.position.0 += 1;
-        let position = table.position;
-        let puts = puts.into_iter().map(|(name, value)| (name, Some(value)));
-        for (name, value) in puts.chain(removals.into_iter().map(|name| (name, None))) {
-            table.rows.insert(name.clone(), Row { name, position, value });
+        table.version.0 += 1;
+        let version = table.version;
+        let puts = puts.into_iter().map(|(key, value)| (key, Some(value)));
+        for (key, value) in puts.chain(removals.into_iter().map(|key| (key, None))) {
+            table.rows.insert(key.clone(), Row { key, version, value });
         }
         drop(table);
-        self.position.send_replace(position.0);
-        Reply::Written { position }
+        self.version.send_replace(version.0);
+        Reply::Written { version }
     }
 
-    fn news(&self, area: Area, after: Position, whole: bool) -> Reply {
+    fn changes(&self, area: Area, after: StoreVersion, whole: bool) -> Reply {
         let table = self.table();
         let is_wanted = |row: &&Row| {
-            let is_fleet = matches!(row.name, Name::Node(_) | Name::Roster);
+            let is_fleet = matches!(row.key, RowKey::Node(_) | RowKey::Roster);
             let is_there = !whole || row.value.is_some();
-            is_there && is_fleet == (area == Area::Fleet) && row.position > after
+            is_there && is_fleet == (area == Area::Fleet) && row.version > after
         };
         let rows = table.rows.values().filter(is_wanted).cloned().collect();
-        let upto = table.position;
-        Reply::News { area, whole, upto, clock: None, news: News::Rows(rows) }
+        let up_to = table.version;
+        Reply::Changes { area, whole, up_to, clock: None, changes: Changes::Rows(rows) }
     }
 
-    /// Waits for news of an area.
-    async fn watch(&self, area: Area, after: Position) -> Reply {
-        let mut position = self.position.subscribe();
+    /// Waits for changes of an area.
+    async fn watch(&self, area: Area, after: StoreVersion) -> Reply {
+        let mut version = self.version.subscribe();
         loop {
-            position.mark_unchanged();
-            let reply = self.news(area, after, false);
-            if matches!(&reply, Reply::News { news: News::Rows(rows), .. } if !rows.is_empty()) {
+            version.mark_unchanged();
+            let reply = self.changes(area, after, false);
+            if matches!(&reply, Reply::Changes { changes: Changes::Rows(rows), .. } if !rows.is_empty())
+            {
                 return reply;
             }
-            position.changed().await.expect("the platform holds the sender");
+            version.changed().await.expect("the platform holds the sender");
         }
     }
 }
@@ -115,14 +116,14 @@
         let (platform, control) = (self.platform.clone(), self.control.clone());
         self.runtime.spawn(async move {
             let reply = match operation {
-                Operation::Read(area) => platform.news(area, Position(0), true),
+                Operation::Read(area) => platform.changes(area, StoreVersion(0), true),
                 Operation::Write { expected, puts, removals } => {
                     platform.transact(&expected, puts, removals)
                 }
                 Operation::Watch { area, after, wait } => {
                     let wait = Duration::from_millis(wait.0);
-                    let news = time::timeout(wait, platform.watch(area, after)).await;
-                    news.unwrap_or_else(|_| platform.news(area, after, false))
+                    let changes = time::timeout(wait, platform.watch(area, after)).await;
+                    changes.unwrap_or_else(|_| platform.changes(area, after, false))
                 }
             };
             control.event(Event::Store(ticket, reply));
--- a/crates/mustardpin-node/tests/testsuite/fake/side.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/side.rs
@@ -17,10 +17,10 @@
     launch::Limits,
     traffic::{self, Board, Credentials, Dispatcher, Door, Order, Setup, Traffic as _},
 };
-use mustardpin_wire::own::Own;
+use mustardpin_wire::native::Native;
 use mustardpin_world::{
     Event, Millis,
-    command::TargetPlace,
+    command::TargetAddress,
     id::{KeyDigest, NodeId},
     request::{CallToken, Request, Run, Ticket, Verdict},
     store::Announcement,
@@ -82,7 +82,7 @@
             control,
             clock: Arc::clone(&clock) as _,
             limits,
-            dialect: Arc::new(Own::new("slots")),
+            dialect: Arc::new(Native::new("slots")),
             service: "slots".into(),
             credentials: Credentials {
                 announcement: announcement.clone(),
@@ -106,7 +106,7 @@
             waiting: Mutex::default(),
             _runtime: runtime,
         };
-        let place = TargetPlace { address: target.to_string().into(), instance: "".into() };
+        let place = TargetAddress { address: target.to_string().into(), instance: "".into() };
         side.order(Order::Target(Some(place)));
         side
     }
--- a/crates/mustardpin-virtual/examples/control_traffic.rs
+++ b/crates/mustardpin-virtual/examples/control_traffic.rs
@@ -9,7 +9,7 @@
 use mustardpin_world::{
     Millis, Options, config,
     event::Proposal,
-    store::{Name, Value},
+    store::{RowKey, Value},
     table::peer::Peer,
 };
 
@@ -77,7 +77,7 @@
 
 fn put(fleet: &mut Fleet) {
     fleet.platform.put_configuration(vec![team("first")]);
-    fleet.platform.put(vec![(Name::Head, Value::Head(Vec::new()))]);
+    fleet.platform.put(vec![(RowKey::Head, Value::Head(Vec::new()))]);
 }
 
 /// Lets a phase pass and prints its row.
--- a/crates/mustardpin-virtual/src/fleet/call.rs
+++ b/crates/mustardpin-virtual/src/fleet/call.rs
@@ -3,7 +3,7 @@
 use mustardpin_world::{
     Event, Millis,
     id::NodeId,
-    request::{self, Fingerprint, ForwardEnd, Origin, Ticket, Verdict, passes_unasked},
+    request::{self, Fingerprint, ForwardEnd, Origin, Ticket, Verdict, is_final_status},
 };
 use rand::RngExt as _;
 
@@ -58,7 +58,7 @@
     /// the node's word.
     pub(super) fn answered(&mut self, site: Site, ticket: Ticket, answer: Answer, retries: u32) {
         let node = &mut self.nodes[site.0];
-        if !passes_unasked(answer.status) {
+        if !is_final_status(answer.status) {
             if let Some(held) = node.requests.get_mut(&ticket) {
                 held.answer = Some(answer);
             }
@@ -86,7 +86,7 @@
     fn tell(&mut self, site: Site, waiter: Waiter, word: Word, retries: u32) {
         match waiter {
             Waiter::Caller { root } => match word {
-                Word::Answered(answer) if passes_unasked(answer.status) => {
+                Word::Answered(answer) if is_final_status(answer.status) => {
                     self.receive(root, Some(Verdict::Pass), Some(answer.body));
                 }
                 Word::Answered(_) => self.receive(root, None, None),
--- a/crates/mustardpin-virtual/src/fleet/message.rs
+++ b/crates/mustardpin-virtual/src/fleet/message.rs
@@ -83,14 +83,14 @@
     pub(super) fn answer_watches(&mut self) {
         self.platform.clock = self.now;
         for (site, life, ticket, waiting) in std::mem::take(&mut self.waiting) {
-            match self.platform.news(waiting) {
+            match self.platform.changes(waiting) {
                 None => self.waiting.push((site, life, ticket, waiting)),
                 Some(reply) => self.answer_watch(site, life, ticket, reply),
             }
         }
     }
 
-    /// The time of a question without news is over.
+    /// The time of a question without changes is over.
     pub(super) fn store_watch_over(&mut self, site: Site, life: u32, ticket: store::Ticket) {
         let is_this = |(at, in_life, asked, _): &(Site, u32, store::Ticket, _)| {
             (*at, *in_life, *asked) == (site, life, ticket)
--- a/crates/mustardpin-virtual/src/fleet/step.rs
+++ b/crates/mustardpin-virtual/src/fleet/step.rs
@@ -98,9 +98,9 @@
             }
             Command::Publish { load, urgent } => self.publish(site, load, urgent),
             Command::Ready(ready) => self.nodes[site.0].ready = ready,
-            Command::Log(note) => {
-                if note.request.is_none() {
-                    self.log.push((self.now, site, note));
+            Command::Log(record) => {
+                if record.request.is_none() {
+                    self.log.push((self.now, site, record));
                 }
             }
             Command::Target(_) | Command::Callers(_) | Command::CloseIdle => {}
--- a/crates/mustardpin-virtual/src/platform.rs
+++ b/crates/mustardpin-virtual/src/platform.rs
@@ -4,8 +4,8 @@
 
 use mustardpin_world::{
     Millis, config,
-    id::Position,
-    store::{Area, Name, News, Operation, Refused, Reply, Row, Value},
+    id::StoreVersion,
+    store::{Area, Changes, Operation, Refused, Reply, Row, RowKey, Value},
 };
 
 /// How the platform behaves.
@@ -22,11 +22,11 @@
     Refuse(Refused),
 }
 
-/// A question that waits for news.
+/// A question that waits for changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Waiting {
     area: Area,
-    after: Position,
+    after: StoreVersion,
 }
 
 /// What becomes of an operation.
@@ -36,7 +36,7 @@
     Reply(Reply),
     /// It is never answered.
     Silence,
-    /// It is answered when there is news, or after this time.
+    /// It is answered when there are changes, or after this time.
     Waits(Waiting, Millis),
 }
 
@@ -49,17 +49,17 @@
     pub reads: u64,
     /// Transactions, accepted or not.
     pub writes: u64,
-    position: Position,
+    version: StoreVersion,
     /// The point of virtual time, as the store's clock shows it.
     pub(crate) clock: Millis,
-    forgotten: Position,
-    rows: BTreeMap<Name, Row>,
+    forgotten: StoreVersion,
+    rows: BTreeMap<RowKey, Row>,
 }
 
-fn area_of(name: &Name) -> Area {
-    match name {
-        Name::Node(_) | Name::Roster => Area::Fleet,
-        Name::Configuration(_) | Name::Head => Area::Configuration,
+fn area_of(key: &RowKey) -> Area {
+    match key {
+        RowKey::Node(_) | RowKey::Roster => Area::Fleet,
+        RowKey::Configuration(_) | RowKey::Head => Area::Configuration,
     }
 }
 
@@ -79,7 +79,7 @@
             Operation::Read(area) => Outcome::Reply(self.read(area)),
             Operation::Watch { area, after, wait } => {
                 let waiting = Waiting { area, after };
-                match self.news(waiting) {
+                match self.changes(waiting) {
                     Some(reply) => Outcome::Reply(reply),
                     None if wait == Millis::ZERO => Outcome::Reply(self.nothing_new(waiting)),
                     None => Outcome::Waits(waiting, wait),
@@ -96,43 +96,44 @@
     }
 
     /// Writes rows without any condition, as a test's own hand.
-    pub fn put(&mut self, rows: Vec<(Name, Value)>) -> Position {
-        self.position.0 += 1;
-        for (name, value) in rows {
-            self.keep(name, Some(value));
+    pub fn put(&mut self, rows: Vec<(RowKey, Value)>) -> StoreVersion {
+        self.version.0 += 1;
+        for (key, value) in rows {
+            self.keep(key, Some(value));
         }
-        self.position
+        self.version
     }
 
     /// Writes rows of the configuration without any condition.
-    pub fn put_configuration(&mut self, rows: Vec<config::Row>) -> Position {
+    pub fn put_configuration(&mut self, rows: Vec<config::Row>) -> StoreVersion {
         let rows = rows.into_iter();
         self.put(
-            rows.map(|row| (Name::Configuration(row.path()), Value::Configuration(row))).collect(),
+            rows.map(|row| (RowKey::Configuration(row.path()), Value::Configuration(row)))
+                .collect(),
         )
     }
 
-    /// The position of the last transaction.
-    pub fn position(&self) -> Position {
-        self.position
+    /// The version of the last transaction.
+    pub fn version(&self) -> StoreVersion {
+        self.version
     }
 
     /// The row of the configuration that stands at a path.
     pub fn configuration(&self, path: &config::Path) -> Option<&config::Row> {
-        match &self.rows.get(&Name::Configuration(path.clone()))?.value {
+        match &self.rows.get(&RowKey::Configuration(path.clone()))?.value {
             Some(Value::Configuration(row)) => Some(row),
             _ => None,
         }
     }
 
     /// The value of a row that is there.
-    pub fn value(&self, name: &Name) -> Option<&Value> {
-        self.rows.get(name)?.value.as_ref()
+    pub fn value(&self, key: &RowKey) -> Option<&Value> {
+        self.rows.get(key)?.value.as_ref()
     }
 
-    /// Forgets the history up to now: questions about news since then are told so.
+    /// Forgets the history up to now: questions about changes since then are told so.
     pub fn compact(&mut self) {
-        self.forgotten = self.position;
+        self.forgotten = self.version;
         self.rows.retain(|_, row| row.value.is_some());
     }
 
@@ -141,8 +142,8 @@
         self.mode != PlatformMode::Down
     }
 
-    /// The answer to a question, if there is news.
-    pub(crate) fn news(&self, waiting: Waiting) -> Option<Reply> {
+    /// The answer to a question, if there are changes.
+    pub(crate) fn changes(&self, waiting: Waiting) -> Option<Reply> {
         if waiting.after < self.forgotten {
             return Some(Reply::Forgotten);
         }
@@ -155,51 +156,51 @@
         self.reply(waiting.area, false, Vec::new())
     }
 
-    fn of(&self, area: Area, after: Position) -> impl Iterator<Item = &Row> {
+    fn of(&self, area: Area, after: StoreVersion) -> impl Iterator<Item = &Row> {
         let rows = self.rows.values();
-        rows.filter(move |row| area_of(&row.name) == area && row.position > after)
+        rows.filter(move |row| area_of(&row.key) == area && row.version > after)
     }
 
     fn reply(&self, area: Area, whole: bool, rows: Vec<Row>) -> Reply {
-        Reply::News {
+        Reply::Changes {
             area,
             whole,
-            upto: self.position,
+            up_to: self.version,
             clock: Some(self.clock),
-            news: News::Rows(rows),
+            changes: Changes::Rows(rows),
         }
     }
 
     fn read(&self, area: Area) -> Reply {
-        let rows = self.of(area, Position(0)).filter(|row| row.value.is_some());
+        let rows = self.of(area, StoreVersion(0)).filter(|row| row.value.is_some());
         self.reply(area, true, rows.cloned().collect())
     }
 
     fn write(
         &mut self,
-        expected: &[(Name, Position)],
-        puts: Vec<(Name, Value)>,
-        removals: Vec<Name>,
+        expected: &[(RowKey, StoreVersion)],
+        puts: Vec<(RowKey, Value)>,
+        removals: Vec<RowKey>,
     ) -> Reply {
-        let position_of = |name| {
-            let row = self.rows.get(name).filter(|row| row.value.is_some());
-            row.map_or(Position(0), |row| row.position)
+        let version_of = |key| {
+            let row = self.rows.get(key).filter(|row| row.value.is_some());
+            row.map_or(StoreVersion(0), |row| row.version)
         };
-        if expected.iter().any(|(name, position)| position_of(name) != *position) {
+        if expected.iter().any(|(key, version)| version_of(key) != *version) {
             return Reply::Conflict;
         }
-        self.position.0 += 1;
-        for (name, value) in puts {
-            self.keep(name, Some(value));
+        self.version.0 += 1;
+        for (key, value) in puts {
+            self.keep(key, Some(value));
         }
-        for name in removals {
-            self.keep(name, None);
+        for key in removals {
+            self.keep(key, None);
         }
-        Reply::Written { position: self.position }
+        Reply::Written { version: self.version }
     }
 
-    fn keep(&mut self, name: Name, value: Option<Value>) {
-        let row = Row { name: name.clone(), position: self.position, value };
-        self.rows.insert(name, row);
+    fn keep(&mut self, key: RowKey, value: Option<Value>) {
+        let row = Row { key: key.clone(), version: self.version, value };
+        self.rows.insert(key, row);
     }
 }
--- a/crates/mustardpin-virtual/tests/testsuite/configuration.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/configuration.rs
@@ -273,12 +273,12 @@
             scenario.withdraw(Site(0));
         }
         scenario.fleet.run_for(Millis::from_secs(8));
-        let revision = scenario.fleet.platform.position();
+        let revision = scenario.fleet.platform.version();
         scenario.fleet.platform.mode = PlatformMode::Up;
         scenario.fleet.run_for(Millis::from_secs(2));
         scenario.propose(Site(5), 2, "withdraw", expected, vec![withdrawal()]);
         scenario.fleet.run_for(Millis::from_secs(2));
-        let written = scenario.fleet.platform.position().0 - revision.0;
+        let written = scenario.fleet.platform.version().0 - revision.0;
         writeln!(report, "{name}: {written} written on asking again").unwrap();
         for (ticket, answer) in &scenario.fleet.answers {
             writeln!(report, "  {ticket}: {answer:?}").unwrap();
--- a/crates/mustardpin-virtual/tests/testsuite/overload.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/overload.rs
@@ -100,9 +100,9 @@
 /// all of it again once it keeps up.
 #[test]
 fn a_node_that_falls_behind_sheds_at_its_entrance() {
-    const BEAT: Millis = Millis(100);
+    const LAG_PROBE_INTERVAL: Millis = Millis(100);
     const LAG: Millis = Millis(300);
-    const PER_BEAT: usize = 20;
+    const PER_PROBE: usize = 20;
     let mut fleet = Fleet::new(1, Options::default());
     let site = fleet.add("north", Service::leaf("search", 400, 5.0));
     let urgent = Route::new("urgent", "/urgent", "search", Millis::from_secs(5));
@@ -112,20 +112,20 @@
     fleet.run_for(Millis::from_secs(5));
     let phase = |fleet: &mut Fleet, lag: Millis| {
         let mut whole = [0, 0];
-        for beat in 0..60 {
+        for probe in 0..60 {
             let due = Millis(fleet.now.0.saturating_sub(lag.0));
-            fleet.inject(site, Event::Beat(due));
+            fleet.inject(site, Event::LagProbe(due));
             let mut roots = Vec::new();
-            for number in 0..PER_BEAT {
+            for number in 0..PER_PROBE {
                 let kind = usize::from(number % 4 == 0);
                 let path = ["/search/slots", "/urgent"][kind];
-                let fingerprint = fleet.now.0 * PER_BEAT as u64 + number as u64;
+                let fingerprint = fleet.now.0 * PER_PROBE as u64 + number as u64;
                 let request = Request::get(path, "garage-1.secret");
                 roots.push((kind, fleet.send(site, Request { fingerprint, ..request })));
             }
-            fleet.run_for(BEAT);
+            fleet.run_for(LAG_PROBE_INTERVAL);
             // The share has settled by then.
-            if beat >= 30 {
+            if probe >= 30 {
                 for (kind, root) in roots {
                     let is_whole = fleet.answer_to(root).is_some_and(|answer| answer.is_whole());
                     whole[kind] += usize::from(is_whole);
@@ -168,7 +168,7 @@
     let message = Message::Pressure(pressure::Message::Costs(costs.collect()));
     let from = fleet.world_at(peer).identity().node();
     fleet.inject(site, Event::Peer { from, message });
-    fleet.inject(site, Event::Beat(Millis::ZERO));
+    fleet.inject(site, Event::LagProbe(Millis::ZERO));
     let roots: Vec<u64> = (0..ROUTES)
         .map(|index| {
             fleet.send(site, Request::get(&format!("/{}", name(index)), "garage-1.secret"))
--- a/crates/mustardpin-virtual/tests/testsuite/roster.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/roster.rs
@@ -8,7 +8,7 @@
     config::CutOffPolicy,
     id::{NodeId, TeamKey},
     message::share::Shard,
-    store::{Name, Value},
+    store::{RowKey, Value},
 };
 
 use crate::{
@@ -87,9 +87,9 @@
 /// Rosters that nodes learned of since a point, and how many members they have.
 fn rosters(scenario: &Scenario, since: Millis) -> BTreeMap<String, String> {
     let log = scenario.fleet.log.iter();
-    let log = log.filter(|(at, _, note)| *at >= since && note.event == "roster");
-    log.map(|(_, _, note)| {
-        let field = |name| note.fields.iter().find(|(other, _)| *other == name);
+    let log = log.filter(|(at, _, record)| *at >= since && record.event == "roster");
+    log.map(|(_, _, record)| {
+        let field = |name| record.fields.iter().find(|(other, _)| *other == name);
         let text = |name| field(name).map(|(_, value)| value.to_string()).unwrap_or_default();
         (text("position"), text("members"))
     })
@@ -181,7 +181,7 @@
         }
         scenario.fleet.run_for(Millis::from_secs(30));
         assert_eq!(members(&scenario), [9; 9], "seed {seed}");
-        let Some(Value::Roster(roster)) = scenario.fleet.platform.value(&Name::Roster) else {
+        let Some(Value::Roster(roster)) = scenario.fleet.platform.value(&RowKey::Roster) else {
             panic!("seed {seed}: no roster");
         };
         assert_eq!(roster.members.len(), 9, "seed {seed}");
--- a/crates/mustardpin-wire/src/dialect.rs
+++ b/crates/mustardpin-wire/src/dialect.rs
@@ -28,28 +28,28 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("{problem}")]
-pub struct Unreadable {
+pub struct RequestError {
     /// The reason under which it is refused.
     pub reason: Reason,
     /// What is wrong with it.
     pub problem: CompactString,
 }
 
-impl Unreadable {
+impl RequestError {
     /// A malformed request.
     ///
     /// ```
-    /// use mustardpin_wire::dialect::Unreadable;
-    /// assert_eq!(Unreadable::malformed("no host").to_string(), "no host");
+    /// use mustardpin_wire::dialect::RequestError;
+    /// assert_eq!(RequestError::malformed("no host").to_string(), "no host");
     /// ```
-    pub fn malformed(problem: impl Into<CompactString>) -> Unreadable {
-        Unreadable { reason: Reason::RequestMalformed, problem: problem.into() }
+    pub fn malformed(problem: impl Into<CompactString>) -> RequestError {
+        RequestError { reason: Reason::RequestMalformed, problem: problem.into() }
     }
 }
 
 /// What a request's head says.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct ParsedRequest {
     /// Who sent it.
     pub origin: Origin,
     /// Its id, if its sender chose one.
@@ -64,7 +64,7 @@
 
 /// What the node where a request began says of it to the target.
 #[derive(Debug, Clone, Copy)]
-pub struct Entry<'a> {
+pub struct EntryHeaders<'a> {
     /// The service of the node's target.
     pub caller_service: &'a str,
     /// The team that it runs for.
@@ -73,7 +73,7 @@
 
 /// What the node next to a target says with a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Delivery<'a> {
+pub struct DeliveryHeaders<'a> {
     /// The target that is meant, if it has an id.
     pub instance: &'a str,
     /// Links the target's own calls to the request.
@@ -84,9 +84,9 @@
 
 /// What a target's answer means.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Meaning {
+pub enum ResponseKind {
     /// It is the target's answer to the request.
-    Answer {
+    Response {
         /// What it says of the target's load.
         load: Option<TargetLoad>,
     },
@@ -116,23 +116,23 @@
     /// # Errors
     ///
     /// If it cannot be read.
-    fn read_request(&self, port: Port, head: &Request) -> Result<Asked, Unreadable>;
+    fn read_request(&self, port: Port, head: &Request) -> Result<ParsedRequest, RequestError>;
 
     /// Whether a field of a caller's request goes on to the target. Fields that concern one
     /// connection, and the length of the body, are not asked for.
-    fn passes(&self, asked: &Asked, name: &str, value: &[u8]) -> bool;
+    fn forwards_request_header(&self, request: &ParsedRequest, name: &str, value: &[u8]) -> bool;
 
     /// Writes the fields that the node where the request began adds.
-    fn write_entry(&self, entry: Entry<'_>, fields: &mut Vec<u8>);
+    fn write_entry_headers(&self, entry: EntryHeaders<'_>, fields: &mut Vec<u8>);
 
     /// Writes the fields that the node next to the target adds.
-    fn write_delivery(&self, delivery: Delivery<'_>, fields: &mut Vec<u8>);
+    fn write_delivery_headers(&self, delivery: DeliveryHeaders<'_>, fields: &mut Vec<u8>);
 
     /// Reads the head of a target's answer to the request with this id.
-    fn read_answer(&self, id: &str, head: &Response) -> Meaning;
+    fn read_response(&self, id: &str, head: &Response) -> ResponseKind;
 
     /// Whether a field of a target's answer goes on to the caller.
-    fn answer_passes(&self, name: &str) -> bool;
+    fn forwards_response_header(&self, name: &str) -> bool;
 
     /// Writes the fields of a refusal and returns its body. `left` is the time that the caller
     /// still waits, if it has said so.
--- a/crates/mustardpin-wire/src/frame.rs
+++ b/crates/mustardpin-wire/src/frame.rs
@@ -209,7 +209,7 @@
 /// The answer of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Answer {
+pub struct Response {
     /// The request.
     pub stream: Stream,
     /// The HTTP status code.
@@ -284,7 +284,7 @@
     /// A request.
     Request(Request),
     /// The answer of a target.
-    Answer(Answer),
+    Answer(Response),
     /// A refusal in place of an answer.
     Refused(Refused),
     /// The sender does not want the answer any more.
--- a/crates/mustardpin-wire/src/message.rs
+++ b/crates/mustardpin-wire/src/message.rs
@@ -4,7 +4,7 @@
 use derive_more::{Display, Error, From};
 use mustardpin_world::{
     Millis,
-    id::{Position, Revision},
+    id::{Revision, StoreVersion},
     message::{self, share::Shard},
     request::Fingerprint,
 };
@@ -175,7 +175,7 @@
                     age: Millis(age),
                     revision: Revision(revision),
                     fleet_age: Millis(fleet_age),
-                    roster: Position(roster),
+                    roster: StoreVersion(roster),
                 }
                 .into()
             }
@@ -195,7 +195,7 @@
                 message::share::Message::Grant { number, grants }.into()
             }
             Message::Handover { roster, team, shard, level } => {
-                let (roster, shard) = (Position(roster), Shard(shard));
+                let (roster, shard) = (StoreVersion(roster), Shard(shard));
                 message::share::Message::Handover { roster, team, shard, level }.into()
             }
             Message::Costs(costs) => {
--- a/crates/mustardpin-wire/src/own.rs
+++ b/crates/mustardpin-wire/src/native.rs
@@ -15,7 +15,10 @@
 };
 
 use crate::{
-    dialect::{Asked, Delivery, Dialect, Entry, Meaning, Port, Report, Unreadable},
+    dialect::{
+        DeliveryHeaders, Dialect, EntryHeaders, ParsedRequest, Port, Report, RequestError,
+        ResponseKind,
+    },
     header, refusal,
     scrub::Secret,
     target,
@@ -26,33 +29,33 @@
 
 /// The project's own dialect, at a node of one service.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct Native {
     service: CompactString,
 }
 
-impl Own {
+impl Native {
     /// The dialect of a node whose target belongs to this service.
     ///
     /// ```
-    /// let _dialect = mustardpin_wire::own::Own::new("ledger");
+    /// let _dialect = mustardpin_wire::native::Native::new("ledger");
     /// ```
-    pub fn new(service: impl Into<CompactString>) -> Own {
-        Own { service: service.into() }
+    pub fn new(service: impl Into<CompactString>) -> Native {
+        Native { service: service.into() }
     }
 }
 
-impl Dialect for Own {
-    fn read_request(&self, port: Port, head: &Request) -> Result<Asked, Unreadable> {
+impl Dialect for Native {
+    fn read_request(&self, port: Port, head: &Request) -> Result<ParsedRequest, RequestError> {
         let headers = &head.headers;
         let key = bearer(headers)?;
         let secret = key.map(Secret::of).unwrap_or_default();
         if !head.target().starts_with('/') {
-            return Err(Unreadable::malformed("the request names no path"));
+            return Err(RequestError::malformed("the request names no path"));
         }
         if secret.is_in_target(head.target()) {
-            return Err(Unreadable::malformed("the path or the query contains the caller's key"));
+            return Err(RequestError::malformed("the path or the query contains the caller's key"));
         }
-        Ok(Asked {
+        Ok(ParsedRequest {
             origin: origin(port, headers, key)?,
             id: id(headers)?,
             host: host(headers)?,
@@ -61,32 +64,32 @@
         })
     }
 
-    fn passes(&self, asked: &Asked, name: &str, value: &[u8]) -> bool {
+    fn forwards_request_header(&self, request: &ParsedRequest, name: &str, value: &[u8]) -> bool {
         !header::is_internal(name)
             && !name.eq_ignore_ascii_case("authorization")
             && !name.eq_ignore_ascii_case(header::REQUEST_TIMEOUT_MS)
-            && !asked.secret.is_in(name.as_bytes())
-            && !asked.secret.is_in(value)
+            && !request.secret.is_in(name.as_bytes())
+            && !request.secret.is_in(value)
     }
 
-    fn write_entry(&self, _entry: Entry<'_>, _fields: &mut Vec<u8>) {}
+    fn write_entry_headers(&self, _entry: EntryHeaders<'_>, _fields: &mut Vec<u8>) {}
 
-    fn write_delivery(&self, delivery: Delivery<'_>, fields: &mut Vec<u8>) {
+    fn write_delivery_headers(&self, delivery: DeliveryHeaders<'_>, fields: &mut Vec<u8>) {
         let token = format_compact!("{:032x}", delivery.token.0);
         write::field(fields, header::CALL, token.as_bytes());
         write::number(fields, header::REQUEST_TIMEOUT_MS, delivery.left.0);
     }
 
-    fn read_answer(&self, _id: &str, head: &Response) -> Meaning {
+    fn read_response(&self, _id: &str, head: &Response) -> ResponseKind {
         let declines = head.headers.get(header::TARGET_OUTCOME) == Some(target::NOT_RUN.as_bytes());
         match head.status {
-            101 => Meaning::Unusable("the target switched protocols"),
-            503 if declines => Meaning::Declined,
-            _ => Meaning::Answer { load: None },
+            101 => ResponseKind::Unusable("the target switched protocols"),
+            503 if declines => ResponseKind::Declined,
+            _ => ResponseKind::Response { load: None },
         }
     }
 
-    fn answer_passes(&self, name: &str) -> bool {
+    fn forwards_response_header(&self, name: &str) -> bool {
         !header::is_internal(name)
     }
 
@@ -116,13 +119,13 @@
     }
 }
 
-fn origin(port: Port, headers: &Headers, key: Option<&str>) -> Result<Origin, Unreadable> {
+fn origin(port: Port, headers: &Headers, key: Option<&str>) -> Result<Origin, RequestError> {
     match (port, single(headers, header::CALL)?) {
         (Port::Local, Some(text)) => {
             let token = decode_token(text).ok_or_else(|| unreadable(header::CALL))?;
             Ok(Origin::Target { token: Some(token) })
         }
-        (Port::Callers, Some(_)) => Err(Unreadable {
+        (Port::Callers, Some(_)) => Err(RequestError {
             reason: Reason::CallTokenInvalid,
             problem: "a call token came from elsewhere than the node's own target".into(),
         }),
@@ -131,14 +134,14 @@
 }
 
 /// The text after `Bearer`; `None` without the header and with other schemes.
-fn bearer(headers: &Headers) -> Result<Option<&str>, Unreadable> {
+fn bearer(headers: &Headers) -> Result<Option<&str>, RequestError> {
     let Some(text) = single(headers, "authorization")? else { return Ok(None) };
     let Some((scheme, key)) = text.split_once(' ') else { return Ok(None) };
     let key = key.trim();
     Ok((scheme.eq_ignore_ascii_case("bearer") && !key.is_empty()).then_some(key))
 }
 
-fn id(headers: &Headers) -> Result<Option<CompactString>, Unreadable> {
+fn id(headers: &Headers) -> Result<Option<CompactString>, RequestError> {
     let Some(text) = single(headers, header::REQUEST_ID)? else { return Ok(None) };
     if text.is_empty() || text.len() > MAX_ID_BYTES {
         return Err(unreadable(header::REQUEST_ID));
@@ -146,13 +149,13 @@
     Ok(Some(text.into()))
 }
 
-fn host(headers: &Headers) -> Result<CompactString, Unreadable> {
+fn host(headers: &Headers) -> Result<CompactString, RequestError> {
     let host = single(headers, "host")?.unwrap_or_default();
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     Ok(name.to_ascii_lowercase().into())
 }
 
-fn timeout(headers: &Headers) -> Result<Option<Millis>, Unreadable> {
+fn timeout(headers: &Headers) -> Result<Option<Millis>, RequestError> {
     let Some(text) = single(headers, header::REQUEST_TIMEOUT_MS)? else { return Ok(None) };
     let timeout = text.parse().map_err(|_| unreadable(header::REQUEST_TIMEOUT_MS))?;
     Ok(Some(Millis(timeout)))
@@ -165,17 +168,17 @@
     u128::from_str_radix(text, 16).ok().map(CallToken)
 }
 
-fn unreadable(name: &str) -> Unreadable {
-    Unreadable::malformed(format_compact!("the header {name} has a value that cannot be read"))
+fn unreadable(name: &str) -> RequestError {
+    RequestError::malformed(format_compact!("the header {name} has a value that cannot be read"))
 }
 
 /// The value of a header that may stand once only.
-fn single<'a>(headers: &'a Headers, name: &str) -> Result<Option<&'a str>, Unreadable> {
+fn single<'a>(headers: &'a Headers, name: &str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.iter().filter(|(other, _)| other.eq_ignore_ascii_case(name));
     let Some((_, value)) = values.next() else { return Ok(None) };
     if values.next().is_some() {
         let problem = format_compact!("the header {name} stands more than once");
-        return Err(Unreadable::malformed(problem));
+        return Err(RequestError::malformed(problem));
     }
     std::str::from_utf8(value).map(Some).map_err(|_| unreadable(name))
 }
--- a/crates/mustardpin-wire/src/store.rs
+++ b/crates/mustardpin-wire/src/store.rs
@@ -7,7 +7,7 @@
 use mustardpin_world::{
     config as world_config,
     id::NodeId,
-    store::{self, Name, Roster, Value},
+    store::{self, Roster, RowKey, Value},
 };
 use serde::{Deserialize, Serialize};
 
@@ -88,15 +88,15 @@
 ///
 /// ```
 /// use mustardpin_wire::store;
-/// use mustardpin_world::store::Name;
-/// assert_eq!(store::encode_name(&Name::Node("north-1".into())), "node/north-1");
+/// use mustardpin_world::store::RowKey;
+/// assert_eq!(store::encode_key(&RowKey::Node("north-1".into())), "node/north-1");
 /// ```
-pub fn encode_name(name: &Name) -> CompactString {
-    match name {
-        Name::Node(place) => format_compact!("{NODE_PREFIX}{place}"),
-        Name::Roster => ROSTER.into(),
-        Name::Head => HEAD.into(),
-        Name::Configuration(path) => format_compact!("{CONFIGURATION_PREFIX}{path}"),
+pub fn encode_key(key: &RowKey) -> CompactString {
+    match key {
+        RowKey::Node(place) => format_compact!("{NODE_PREFIX}{place}"),
+        RowKey::Roster => ROSTER.into(),
+        RowKey::Head => HEAD.into(),
+        RowKey::Configuration(path) => format_compact!("{CONFIGURATION_PREFIX}{path}"),
     }
 }
 
@@ -105,18 +105,18 @@
 /// # Errors
 ///
 /// If it is no key of the project.
-pub fn decode_name(key: &str) -> Result<Name, Error> {
+pub fn decode_key(key: &str) -> Result<RowKey, Error> {
     let unknown = || Error::Key(key.into());
     match key {
-        ROSTER => Ok(Name::Roster),
-        HEAD => Ok(Name::Head),
+        ROSTER => Ok(RowKey::Roster),
+        HEAD => Ok(RowKey::Head),
         _ => match key.strip_prefix(NODE_PREFIX) {
-            Some(place) => Ok(Name::Node(place.into())),
+            Some(place) => Ok(RowKey::Node(place.into())),
             None => {
                 let path = key.strip_prefix(CONFIGURATION_PREFIX).ok_or_else(unknown)?;
                 let (kind, name) = path.split_once('/').ok_or_else(unknown)?;
                 let kind = config::Kind::try_from(kind)?.into();
-                Ok(Name::Configuration(world_config::Path { kind, name: name.into() }))
+                Ok(RowKey::Configuration(world_config::Path { kind, name: name.into() }))
             }
         },
     }
@@ -141,7 +141,7 @@
     })
 }
 
-/// The value of the row with this name.
+/// The value of the row with this key.
 ///
 /// # Errors
 ///
@@ -149,28 +149,28 @@
 ///
 /// ```
 /// use mustardpin_wire::store;
-/// use mustardpin_world::store::{Name, Roster, Value};
+/// use mustardpin_world::store::{RowKey, Roster, Value};
 ///
 /// let value = Value::Roster(Roster::default());
 /// let bytes = store::encode_value(&value)?;
-/// assert_eq!(store::decode_value(&Name::Roster, &bytes)?, value);
+/// assert_eq!(store::decode_value(&RowKey::Roster, &bytes)?, value);
 /// # Ok::<(), mustardpin_wire::store::Error>(())
 /// ```
-pub fn decode_value(name: &Name, bytes: &[u8]) -> Result<Value, Error> {
-    Ok(match name {
-        Name::Node(_) => {
+pub fn decode_value(key: &RowKey, bytes: &[u8]) -> Result<Value, Error> {
+    Ok(match key {
+        RowKey::Node(_) => {
             let announcement: Announcement = serde_json::from_slice(bytes)?;
             Value::Node(announcement.try_into()?)
         }
-        Name::Roster => {
+        RowKey::Roster => {
             let Members { members } = serde_json::from_slice(bytes)?;
             let members = members.into_iter();
             let members =
                 members.map(|(data_centre, name)| store::Member { name, data_centre }).collect();
             Value::Roster(Roster { members })
         }
-        Name::Head => Value::Head(serde_json::from_slice(bytes)?),
-        Name::Configuration(_) => {
+        RowKey::Head => Value::Head(serde_json::from_slice(bytes)?),
+        RowKey::Configuration(_) => {
             let row: config::Row = serde_json::from_slice(bytes)?;
             Value::Configuration(row.try_into()?)
         }
--- a/crates/mustardpin-wire/tests/testsuite/decode.rs
+++ b/crates/mustardpin-wire/tests/testsuite/decode.rs
@@ -5,7 +5,7 @@
 use mustardpin_wire::{
     config::decode_digest,
     dialect::{Dialect as _, Port},
-    fingerprint, own, scrub,
+    fingerprint, native, scrub,
 };
 use mustardpin_world::{
     id::KeyDigest,
@@ -58,7 +58,7 @@
         port in port(),
     ) {
         let head = Request::new("POST", &target, collect(&fields));
-        match own::Own::new("ledger").read_request(port, &head) {
+        match native::Native::new("ledger").read_request(port, &head) {
             Ok(_) => prop_assert!(target.starts_with('/')),
             Err(error) => prop_assert!([400, 403].contains(&error.reason.status())),
         }
@@ -69,10 +69,10 @@
         let token_text = format!("{token:032x}");
         let fields = [("mustardpin-call", token_text.as_bytes())];
         let head = Request::new("GET", "/slots", fields.into_iter().collect());
-        let dialect = own::Own::new("ledger");
-        let local = dialect.read_request(Port::Local, &head).map(|asked| asked.origin);
+        let dialect = native::Native::new("ledger");
+        let local = dialect.read_request(Port::Local, &head).map(|request| request.origin);
         prop_assert_eq!(local, Ok(Origin::Target { token: Some(CallToken(token)) }));
-        let caller = dialect.read_request(Port::Callers, &head).map(|asked| asked.origin);
+        let caller = dialect.read_request(Port::Callers, &head).map(|request| request.origin);
         prop_assert_eq!(caller.map_err(|error| error.reason), Err(Reason::CallTokenInvalid));
     }
 
@@ -92,12 +92,12 @@
         fields.retain(|(name, _)| !SINGLE.contains(name));
         fields.push(("authorization", format!("Bearer garage-1.{secret}").into_bytes()));
         let head = Request::new("GET", "/slots", collect(&fields));
-        let dialect = own::Own::new("ledger");
-        let asked = dialect.read_request(Port::Callers, &head).expect("the head can be read");
+        let dialect = native::Native::new("ledger");
+        let request = dialect.read_request(Port::Callers, &head).expect("the head can be read");
         let digest = KeyDigest::of(&format!("garage-1.{secret}"));
-        prop_assert_eq!(&asked.origin, &Origin::Caller { key: Some(digest) });
+        prop_assert_eq!(&request.origin, &Origin::Caller { key: Some(digest) });
         let mut passed = Vec::new();
-        let passes = |name: &str, value: &[u8]| dialect.passes(&asked, name, value);
+        let passes = |name: &str, value: &[u8]| dialect.forwards_request_header(&request, name, value);
         scrub::copy(&head.headers, passes, &mut passed);
         let text = String::from_utf8_lossy(&passed).to_lowercase();
         prop_assert!(!text.contains(&secret.to_lowercase()), "{}", text);
@@ -109,7 +109,7 @@
         let value = format!("Bearer garage-1.{secret}");
         let headers: Headers = [("authorization", value.as_bytes())].into_iter().collect();
         let head = Request::new("GET", &format!("/slots?key={secret}"), headers);
-        let refused = own::Own::new("ledger").read_request(Port::Callers, &head);
+        let refused = native::Native::new("ledger").read_request(Port::Callers, &head);
         prop_assert_eq!(refused.map(|_| ()).map_err(|error| error.reason), Err(Reason::RequestMalformed));
     }
 
--- a/crates/mustardpin-wire/tests/testsuite/message.rs
+++ b/crates/mustardpin-wire/tests/testsuite/message.rs
@@ -3,7 +3,7 @@
 use mustardpin_wire::message::Message;
 use mustardpin_world::{
     Millis,
-    id::{NodeId, Position, Revision},
+    id::{NodeId, Revision, StoreVersion},
     message::{self, configuration, fleet, freshness, pressure, quarantine, share},
     request::Fingerprint,
     store::Announcement,
@@ -35,7 +35,7 @@
             age: Millis(800),
             revision: Revision(5),
             fleet_age: Millis(900),
-            roster: Position(3),
+            roster: StoreVersion(3),
         }
         .into(),
         share::Message::Draw { number: 8, draws: vec![draw] }.into(),
@@ -45,7 +45,7 @@
         }
         .into(),
         share::Message::Handover {
-            roster: Position(3),
+            roster: StoreVersion(3),
             team: "garages".into(),
             shard: share::Shard(1),
             level: 1_500_000,
--- a/crates/mustardpin-wire/tests/testsuite/store.rs
+++ b/crates/mustardpin-wire/tests/testsuite/store.rs
@@ -7,7 +7,7 @@
     Millis,
     config::{self, Importance},
     id::{KeyDigest, NodeId},
-    store::{Announcement, Member, Name, Roster, Value},
+    store::{Announcement, Member, Roster, RowKey, Value},
 };
 use proptest::prelude::*;
 
@@ -50,13 +50,13 @@
     ]
 }
 
-fn rows() -> Vec<(Name, Value)> {
+fn rows() -> Vec<(RowKey, Value)> {
     let rows = configuration().into_iter();
-    let mut rows: Vec<(Name, Value)> =
-        rows.map(|row| (Name::Configuration(row.path()), Value::Configuration(row))).collect();
-    rows.push((Name::Head, Value::Head(vec!["change-1".into()])));
+    let mut rows: Vec<(RowKey, Value)> =
+        rows.map(|row| (RowKey::Configuration(row.path()), Value::Configuration(row))).collect();
+    rows.push((RowKey::Head, Value::Head(vec!["change-1".into()])));
     let member = Member { name: "north-1".into(), data_centre: "north".into() };
-    rows.push((Name::Roster, Value::Roster(Roster { members: vec![member] })));
+    rows.push((RowKey::Roster, Value::Roster(Roster { members: vec![member] })));
     let announcement = Announcement {
         node: NodeId(1),
         name: "north-1".into(),
@@ -64,16 +64,16 @@
         service: "ledger".into(),
         address: "127.0.0.1:7101".into(),
     };
-    rows.push((Name::Node("north-1".into()), Value::Node(announcement)));
+    rows.push((RowKey::Node("north-1".into()), Value::Node(announcement)));
     rows
 }
 
 #[test]
 fn rows_as_they_stand_in_the_store() {
     let mut text = String::new();
-    for (name, value) in rows() {
+    for (row_key, value) in rows() {
         let value = store::encode_value(&value).expect("it can be written");
-        writeln!(text, "{} {}", store::encode_name(&name), String::from_utf8_lossy(&value))
+        writeln!(text, "{} {}", store::encode_key(&row_key), String::from_utf8_lossy(&value))
             .unwrap();
     }
     insta::assert_snapshot!(text);
@@ -81,19 +81,19 @@
 
 #[test]
 fn rows_come_back_as_they_were_written() {
-    for (name, value) in rows() {
-        let key = store::encode_name(&name);
+    for (row_key, value) in rows() {
+        let key = store::encode_key(&row_key);
         let bytes = store::encode_value(&value).expect("it can be written");
-        assert_eq!(store::decode_name(&key).expect("it can be read"), name);
-        assert_eq!(store::decode_value(&name, &bytes).expect("it can be read"), value);
+        assert_eq!(store::decode_key(&key).expect("it can be read"), row_key);
+        assert_eq!(store::decode_value(&row_key, &bytes).expect("it can be read"), value);
     }
 }
 
 #[test]
 fn other_keys_and_wrong_values_are_errors() {
     let read = |key: &str, value: &str| {
-        let read =
-            store::decode_name(key).and_then(|name| store::decode_value(&name, value.as_bytes()));
+        let read = store::decode_key(key)
+            .and_then(|row_key| store::decode_value(&row_key, value.as_bytes()));
         match read {
             Ok(value) => format!("{value:?}"),
             Err(error) => error.to_string(),
@@ -117,9 +117,9 @@
         key in "(row/(team|route|key|fleet|exception|x)/[a-z]{0,5}|node/.{0,17}|head|roster|x)",
         json in "(null|1|\"x\"|\\[\"x\"\\]|\\{\"(team|route|key|fleet|exception|node)\":(1|null|\\{\\})\\})",
     ) {
-        if let Ok(name) = store::decode_name(&key) {
-            prop_assert_eq!(store::encode_name(&name), key.as_str());
-            let _ = store::decode_value(&name, json.as_bytes());
+        if let Ok(row_key) = store::decode_key(&key) {
+            prop_assert_eq!(store::encode_key(&row_key), key.as_str());
+            let _ = store::decode_value(&row_key, json.as_bytes());
         }
     }
 }
--- a/crates/mustardpin-world/benches/decision.rs
+++ b/crates/mustardpin-world/benches/decision.rs
@@ -10,10 +10,10 @@
     Command, Event, Identity, Millis, Options, World,
     config::{Importance, Key, Route, Row, Team},
     event::TargetReport,
-    id::{KeyDigest, NodeId, Position},
+    id::{KeyDigest, NodeId, StoreVersion},
     options::{LimitAlgorithm, Sharing},
     request::{Fingerprint, ForwardEnd, Load, Origin, Request, RunEnd, Ticket},
-    store::{self, Announcement, Area, Member, Name, News, Operation, Reply, Roster, Value},
+    store::{self, Announcement, Area, Changes, Member, Operation, Reply, Roster, RowKey, Value},
 };
 
 /// How many of each there are, where not one of them is varied.
@@ -75,14 +75,14 @@
         .map(|index| Row::Team(team(index)))
         .chain((0..size.keys).map(|index| Row::Key(key(index))))
         .chain((0..size.routes.max(2)).map(|index| Row::Route(route(index))))
-        .map(|row| (Name::Configuration(row.path()), Value::Configuration(row)));
+        .map(|row| (RowKey::Configuration(row.path()), Value::Configuration(row)));
     let own = announcement(1, "search");
     let members = vec![Member { name: own.name.clone(), data_centre: own.data_centre.clone() }];
-    let nodes = peers(size).map(|peer| (Name::Node(peer.name.clone()), Value::Node(peer)));
-    let own = (Name::Node(own.name.clone()), Value::Node(own));
-    let roster = (Name::Roster, Value::Roster(Roster { members }));
+    let nodes = peers(size).map(|peer| (RowKey::Node(peer.name.clone()), Value::Node(peer)));
+    let own = (RowKey::Node(own.name.clone()), Value::Node(own));
+    let roster = (RowKey::Roster, Value::Roster(Roster { members }));
     let rows = configuration.chain(nodes).chain([own, roster]);
-    rows.map(|(name, value)| store::Row { name, position: Position(1), value: Some(value) })
+    rows.map(|(key, value)| store::Row { key, version: StoreVersion(1), value: Some(value) })
         .collect()
 }
 
@@ -94,7 +94,7 @@
 }
 
 fn is_in(area: Area, row: &store::Row) -> bool {
-    let is_fleet = matches!(row.name, Name::Node(_) | Name::Roster);
+    let is_fleet = matches!(row.key, RowKey::Node(_) | RowKey::Roster);
     is_fleet == (area == Area::Fleet)
 }
 
@@ -157,8 +157,8 @@
             Operation::Write { .. } => return Some(Reply::Conflict),
         };
         let whole = matches!(operation, Operation::Read(_));
-        let (upto, news) = (Position(1), News::Rows(rows));
-        Some(Reply::News { area, whole, upto, clock: Some(self.now), news })
+        let (up_to, changes) = (StoreVersion(1), Changes::Rows(rows));
+        Some(Reply::Changes { area, whole, up_to, clock: Some(self.now), changes })
     }
 
     /// Lets a request arrive. Returns its ticket once it runs or has been passed to a peer.
--- a/crates/mustardpin-world/src/command.rs
+++ b/crates/mustardpin-world/src/command.rs
@@ -5,15 +5,15 @@
     config::{self, ChangeError},
     event::ProposalTicket,
     id::{NodeId, Revision},
+    log::Record,
     message::Message,
-    note::Note,
     request::{Forward, Load, Run, Ticket, Verdict},
     store::{self, Announcement},
 };
 
 /// Where the own target is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TargetPlace {
+pub struct TargetAddress {
     /// Where it listens, as `IP:port`.
     pub address: compact_str::CompactString,
     /// Its id, if it has one.
@@ -55,7 +55,7 @@
     /// Answer an operator's proposal with the revision it was given, or why it was not accepted.
     Answer(ProposalTicket, Result<Revision, ChangeError>),
     /// From now on the own target is here, or nowhere.
-    Target(Option<TargetPlace>),
+    Target(Option<TargetAddress>),
     /// From now on, say this of the own target on every answer to a peer.
     Publish {
         /// What to say.
@@ -68,7 +68,7 @@
     /// From now on, say whether the node is ready for callers.
     Ready(bool),
     /// Write a log line.
-    Log(Note),
+    Log(Record),
     /// Tell callers on idle connections to go elsewhere.
     CloseIdle,
     /// The node has finished everything and may exit.
--- a/crates/mustardpin-world/src/event.rs
+++ b/crates/mustardpin-world/src/event.rs
@@ -124,8 +124,8 @@
     Proposed(ProposalTicket, Proposal),
     /// The settings have changed; the options that may change while the node runs.
     Reloaded(crate::Options),
-    /// A beat of the traffic side, which was due at this time.
-    Beat(Millis),
+    /// A lag probe of the traffic side, which was due at this time.
+    LagProbe(Millis),
     /// The process was asked to stop.
     Stop,
 }
--- a/crates/mustardpin-world/src/id.rs
+++ b/crates/mustardpin-world/src/id.rs
@@ -15,7 +15,7 @@
 
 /// How far the store had come. Grows with every transaction, in any table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Display)]
-pub struct Position(pub u64);
+pub struct StoreVersion(pub u64);
 
 /// The SHA-256 digest of a tenant key. The key itself never enters the world.
 ///
--- a/crates/mustardpin-world/src/note.rs
+++ b/crates/mustardpin-world/src/log.rs
@@ -59,7 +59,7 @@
 
 /// A log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Note {
+pub struct Record {
     /// How much it matters.
     pub level: Level,
     /// What happened.
@@ -70,29 +70,29 @@
     pub fields: Vec<(&'static str, Value)>,
 }
 
-impl Note {
+impl Record {
     /// A line without fields.
     ///
     /// ```
-    /// use mustardpin_world::note::{Level, Note};
+    /// use mustardpin_world::log::{Level, Record};
     ///
-    /// let note = Note::new(Level::Info, "peer_up").with("peer", "north-1".to_owned());
-    /// assert_eq!(note.to_string(), "peer_up peer=north-1");
+    /// let record = Record::new(Level::Info, "peer_up").with("peer", "north-1".to_owned());
+    /// assert_eq!(record.to_string(), "peer_up peer=north-1");
     /// ```
-    pub fn new(level: Level, event: &'static str) -> Note {
-        Note { level, event, request: None, fields: Vec::with_capacity(USUAL_FIELDS) }
+    pub fn new(level: Level, event: &'static str) -> Record {
+        Record { level, event, request: None, fields: Vec::with_capacity(USUAL_FIELDS) }
     }
 
     /// The line, about a request.
     #[must_use]
-    pub fn on(mut self, request: &CompactString) -> Note {
+    pub fn on(mut self, request: &CompactString) -> Record {
         self.request = Some(request.clone());
         self
     }
 
     /// The line with one field more.
     #[must_use]
-    pub fn with(mut self, name: &'static str, value: impl Into<Value>) -> Note {
+    pub fn with(mut self, name: &'static str, value: impl Into<Value>) -> Record {
         self.fields.push((name, value.into()));
         self
     }
@@ -104,7 +104,7 @@
     }
 }
 
-impl std::fmt::Display for Note {
+impl std::fmt::Display for Record {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(self.event)?;
         if let Some(request) = &self.request {
@@ -118,7 +118,7 @@
 /// that a request is written on all nodes that handle it or on none.
 ///
 /// ```
-/// use mustardpin_world::note::is_sampled;
+/// use mustardpin_world::log::is_sampled;
 /// assert!(is_sampled("9c41d07be2a35f68", 1) && !is_sampled("9c41d07be2a35f68", 0));
 /// ```
 pub fn is_sampled(id: &str, one_in: u32) -> bool {
--- a/crates/mustardpin-world/src/message/freshness.rs
+++ b/crates/mustardpin-world/src/message/freshness.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::Millis,
-    id::{Position, Revision},
+    id::{Revision, StoreVersion},
 };
 
 /// A message about the age of knowledge.
@@ -24,6 +24,6 @@
         /// The age of its knowledge of the rows by which nodes find each other.
         fleet_age: Millis,
         /// The roster that it has.
-        roster: Position,
+        roster: StoreVersion,
     },
 }
--- a/crates/mustardpin-world/src/message/share.rs
+++ b/crates/mustardpin-world/src/message/share.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 
-use crate::{clock::Millis, id::Position};
+use crate::{clock::Millis, id::StoreVersion};
 
 /// One of the parts into which a team's rate is split. Each has its own keeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
@@ -47,8 +47,8 @@
     },
     /// A keeper that lost a shard in a new roster passes its bucket on.
     Handover {
-        /// The position of the roster in which the receiver keeps the shard.
-        roster: Position,
+        /// The version of the roster in which the receiver keeps the shard.
+        roster: StoreVersion,
         /// The team's name.
         team: CompactString,
         /// Which part of the team's rate.
--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -32,7 +32,7 @@
     /// Options of the target system.
     pub target: Target,
     /// Options of log lines.
-    pub notes: Notes,
+    pub log: Log,
 }
 
 /// Options of the fleet system.
@@ -384,13 +384,13 @@
 
 /// Options of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Notes {
+pub struct Log {
     /// Ordinary decisions are written for one request in so many; zero writes none.
     pub one_in: u32,
 }
 
-impl Default for Notes {
-    fn default() -> Notes {
-        Notes { one_in: 64 }
+impl Default for Log {
+    fn default() -> Log {
+        Log { one_in: 64 }
     }
 }
--- a/crates/mustardpin-world/src/request.rs
+++ b/crates/mustardpin-world/src/request.rs
@@ -248,9 +248,9 @@
 /// the world. The world may want to repeat a request that ended with a server error.
 ///
 /// ```
-/// use mustardpin_world::request::passes_unasked;
-/// assert!(passes_unasked(200) && passes_unasked(404) && !passes_unasked(500));
+/// use mustardpin_world::request::is_final_status;
+/// assert!(is_final_status(200) && is_final_status(404) && !is_final_status(500));
 /// ```
-pub const fn passes_unasked(status: u16) -> bool {
+pub const fn is_final_status(status: u16) -> bool {
     status < SERVER_ERROR
 }
--- a/crates/mustardpin-world/src/store.rs
+++ b/crates/mustardpin-world/src/store.rs
@@ -1,13 +1,13 @@
 //! What a world asks of the platform's store, and what it is answered.
 //!
 //! The store keeps rows in two areas: the configuration, and the rows by which nodes find each
-//! other. Every row has the position at which it was last written.
+//! other. Every row has the version at which it was last written.
 
 use compact_str::CompactString;
 
 use crate::{
     config,
-    id::{NodeId, Position},
+    id::{NodeId, StoreVersion},
 };
 
 /// What an operation's reply is matched by.
@@ -56,7 +56,7 @@
 
 /// Names a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Name {
+pub enum RowKey {
     /// The announcement of the node in this place.
     Node(CompactString),
     /// The roster.
@@ -84,16 +84,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Which row.
-    pub name: Name,
-    /// The position of the transaction that wrote or removed it.
-    pub position: Position,
+    pub key: RowKey,
+    /// The version of the transaction that wrote or removed it.
+    pub version: StoreVersion,
     /// What it holds, or `None` once it is removed.
     pub value: Option<Value>,
 }
 
-/// News of one area.
+/// Changes of one area.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum Changes {
     /// Rows of an area.
     Rows(Vec<Row>),
     /// The whole configuration, where the platform's operators keep it as one document.
@@ -105,48 +105,48 @@
 pub enum Operation {
     /// All rows of an area.
     Read(Area),
-    /// Rows of an area that change after a position, as soon as there are any.
+    /// Rows of an area that change after a version, as soon as there are any.
     Watch {
         /// The area.
         area: Area,
-        /// The position up to which the node knows the area.
-        after: Position,
+        /// The version up to which the node knows the area.
+        after: StoreVersion,
         /// How long the store holds the question if nothing changes.
         wait: crate::Millis,
     },
     /// Writes rows if each row depended on is still as the node knows it.
     Write {
-        /// What must still hold; position zero means that there is no such row.
-        expected: Vec<(Name, Position)>,
+        /// What must still hold; version zero means that there is no such row.
+        expected: Vec<(RowKey, StoreVersion)>,
         /// What to write.
-        puts: Vec<(Name, Value)>,
+        puts: Vec<(RowKey, Value)>,
         /// What to remove.
-        removals: Vec<Name>,
+        removals: Vec<RowKey>,
     },
 }
 
 /// What the store answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// News of an area.
-    News {
+    /// Changes of an area.
+    Changes {
         /// The area.
         area: Area,
         /// Whether they hold the whole area, so that what is not there does not exist.
         whole: bool,
-        /// The position that the store had reached.
-        upto: Position,
+        /// The version that the store had reached.
+        up_to: StoreVersion,
         /// What the store's own steady clock showed as it answered, if it says so.
         clock: Option<crate::Millis>,
-        /// The news.
-        news: News,
+        /// The changes.
+        changes: Changes,
     },
     /// The history that the question needs is gone: read all again.
     Forgotten,
     /// The write took effect.
     Written {
-        /// At this position.
-        position: Position,
+        /// At this version.
+        version: StoreVersion,
     },
     /// Something that the write depended on had changed; nothing was written.
     Conflict,
--- a/crates/mustardpin-world/src/system.rs
+++ b/crates/mustardpin-world/src/system.rs
@@ -116,7 +116,7 @@
     pub(crate) target: Vec<TargetChange>,
     pub(crate) proposals: Vec<(ProposalTicket, Proposal)>,
     pub(crate) options: Option<Options>,
-    pub(crate) beats: Vec<Millis>,
+    pub(crate) lag_probes: Vec<Millis>,
     pub(crate) stop: bool,
 }
 
@@ -128,7 +128,7 @@
             match event {
                 Event::Arrived(request) => inbox.arrived.push(request),
                 Event::Refused(reason) => inbox.refused.push(reason),
-                Event::Beat(due) => inbox.beats.push(due),
+                Event::LagProbe(due) => inbox.lag_probes.push(due),
                 Event::CallerGone(ticket) => inbox.callers_gone.push(ticket),
                 Event::RunEnded(ticket, end) => inbox.runs_ended.push((ticket, end)),
                 Event::ForwardEnded { ticket, end, retries } => {
--- a/crates/mustardpin-world/src/system/configuration.rs
+++ b/crates/mustardpin-world/src/system/configuration.rs
@@ -8,9 +8,9 @@
     command::Command,
     config::{Record, Update},
     id::{NodeId, Revision},
+    log::{self, Level},
     message::configuration::Message,
-    note::{Level, Note},
-    store::{Area, Name, News, Reply, Row, Value},
+    store::{Area, Changes, Reply, Row, RowKey, Value},
     system::LinkChange,
     table::peer::Link,
     world::{Tick, World},
@@ -49,12 +49,12 @@
     if let Some(callers) = configuration.fleet.callers {
         tick.commands.push(Command::Callers(callers));
     }
-    let note = Note::new(Level::Info, "configuration")
+    let record = log::Record::new(Level::Info, "configuration")
         .with("revision", configuration.revision.0)
         .with("before", before.0)
         .with("rows", configuration.rows().count())
         .with("from", if configuration.revision == from_store { "store" } else { "peer" });
-    tick.log(note);
+    tick.log(record);
 }
 
 /// Gives a peer the configuration, if it has an earlier one.
@@ -86,14 +86,16 @@
 }
 
 fn read_store(world: &mut World, reply: &Reply) {
-    let Reply::News { area: Area::Configuration, whole, upto, news, .. } = reply else { return };
-    match news {
-        News::Document(update) => world.tables.apply(update.clone()),
-        News::Rows(rows) => {
-            // A whole reading that was overtaken by news says nothing of what is not in it.
-            let is_latest = world.tables.configuration.read.is_none_or(|read| read <= *upto);
+    let Reply::Changes { area: Area::Configuration, whole, up_to, changes, .. } = reply else {
+        return;
+    };
+    match changes {
+        Changes::Document(update) => world.tables.apply(update.clone()),
+        Changes::Rows(rows) => {
+            // A whole reading that was overtaken by changes says nothing of what is not in it.
+            let is_latest = world.tables.configuration.read.is_none_or(|read| read <= *up_to);
             if *whole && is_latest {
-                drop_absent(world, rows, Revision(upto.0));
+                drop_absent(world, rows, Revision(up_to.0));
             }
             for row in rows {
                 take_row(world, row);
@@ -103,19 +105,19 @@
 }
 
 fn take_row(world: &mut World, row: &Row) {
-    let revision = Revision(row.position.0);
-    match (&row.name, &row.value) {
-        (Name::Configuration(path), value) => {
+    let revision = Revision(row.version.0);
+    match (&row.key, &row.value) {
+        (RowKey::Configuration(path), value) => {
             let row = match value {
                 Some(Value::Configuration(row)) => Some(row.clone()),
                 _ => None,
             };
             world.tables.apply_record(Record { path: path.clone(), revision, row });
         }
-        (Name::Head, Some(Value::Head(recent))) => {
+        (RowKey::Head, Some(Value::Head(recent))) => {
             let configuration = &mut world.tables.configuration;
-            if row.position > configuration.head {
-                configuration.head = row.position;
+            if row.version > configuration.head {
+                configuration.head = row.version;
                 configuration.recent.clone_from(recent);
                 configuration.revision = configuration.revision.max(revision);
             }
@@ -130,7 +132,7 @@
     let absent: Vec<Record> = records
         .filter(|record| record.row.is_some())
         .filter(|record| {
-            !rows.iter().any(|row| row.name == Name::Configuration(record.path.clone()))
+            !rows.iter().any(|row| row.key == RowKey::Configuration(record.path.clone()))
         })
         .map(|record| Record { path: record.path.clone(), revision, row: None })
         .collect();
--- a/crates/mustardpin-world/src/system/ending.rs
+++ b/crates/mustardpin-world/src/system/ending.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     id::CallKey,
-    note::{Level, Note},
+    log::{Level, Record},
     refusal::{Outcome, Reason, Refusal},
-    request::{ForwardEnd, RunEnd, Ticket, Verdict, passes_unasked},
+    request::{ForwardEnd, RunEnd, Ticket, Verdict, is_final_status},
     system::finish,
     world::{Tick, World},
 };
@@ -56,21 +56,21 @@
 fn answered(world: &mut World, tick: &mut Tick, key: CallKey, status: u16) {
     let Some(call) = world.tables.calls.get(key) else { return };
     let is_late = tick.now > call.objective && call.from.is_none();
-    if call.is_logged || is_late || !passes_unasked(status) {
-        let level = if passes_unasked(status) { Level::Info } else { Level::Warn };
+    if call.is_logged || is_late || !is_final_status(status) {
+        let level = if is_final_status(status) { Level::Info } else { Level::Warn };
         let peer = call.peer.and_then(|peer| world.tables.peers.get(peer));
-        let note = Note::new(level, "answered")
+        let record = Record::new(level, "answered")
             .on(&call.id)
             .with("status", u32::from(status))
             .with("took", tick.now - call.arrived)
             .with("since_sent", tick.now - call.since)
             .with("late", is_late);
         tick.log(match peer {
-            Some(peer) => note.with("peer", peer.announcement.name.clone()),
-            None => note,
+            Some(peer) => record.with("peer", peer.announcement.name.clone()),
+            None => record,
         });
     }
-    if passes_unasked(status) {
+    if is_final_status(status) {
         finish::passed(world, tick, key);
     } else {
         finish::run(world, tick, key, Verdict::Pass);
--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -12,10 +12,10 @@
 use crate::{
     clock::Millis,
     command::Command,
-    id::{NodeId, PeerKey, Position, Revision},
+    id::{NodeId, PeerKey, Revision, StoreVersion},
+    log::{Level, Record},
     message::fleet::Message,
-    note::{Level, Note},
-    store::{Announcement, Area, Name, News, Operation, Reply, Row, Value},
+    store::{Announcement, Area, Changes, Operation, Reply, Row, RowKey, Value},
     system::LinkChange,
     table::peer::{Link, Peer},
     world::{Tick, World},
@@ -34,9 +34,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// How far the node has read the store's area.
-    pub(super) read: Option<Position>,
-    /// The own row as the store has it, and its position.
-    pub(super) own: Option<(NodeId, Position)>,
+    pub(super) read: Option<StoreVersion>,
+    /// The own row as the store has it, and its version.
+    pub(super) own: Option<(NodeId, StoreVersion)>,
     next_look: Millis,
     /// Nodes whose rows were removed, the last one at the end.
     removed: VecDeque<NodeId>,
@@ -44,13 +44,14 @@
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for index in 0..tick.inbox.store.len() {
-        let Reply::News { area: Area::Fleet, whole, upto, news: News::Rows(rows), .. } =
-            &tick.inbox.store[index].1
+        let Reply::Changes {
+            area: Area::Fleet, whole, up_to, changes: Changes::Rows(rows), ..
+        } = &tick.inbox.store[index].1
         else {
             continue;
         };
-        let (whole, upto) = (*whole, *upto);
-        if world.systems.fleet.read.is_none_or(|read| read <= upto) {
+        let (whole, up_to) = (*whole, *up_to);
+        if world.systems.fleet.read.is_none_or(|read| read <= up_to) {
             let rows = rows.clone();
             take_rows(world, tick, whole, &rows);
         }
@@ -104,20 +105,20 @@
         drop_absent(world, tick, rows);
     }
     for row in rows {
-        match (&row.name, &row.value) {
-            (Name::Node(name), Some(Value::Node(announcement))) => {
-                found(world, tick, name, announcement, row.position);
+        match (&row.key, &row.value) {
+            (RowKey::Node(name), Some(Value::Node(announcement))) => {
+                found(world, tick, name, announcement, row.version);
             }
-            (Name::Node(name), None) => removed(world, tick, name),
-            (Name::Roster, Some(Value::Roster(roster)))
-                if row.position > world.tables.roster.position =>
+            (RowKey::Node(name), None) => removed(world, tick, name),
+            (RowKey::Roster, Some(Value::Roster(roster)))
+                if row.version > world.tables.roster.version =>
             {
-                world.tables.roster.replace(row.position, roster, tick.now);
-                let note = Note::new(Level::Info, "roster")
-                    .with("position", row.position.0)
+                world.tables.roster.replace(row.version, roster, tick.now);
+                let record = Record::new(Level::Info, "roster")
+                    .with("position", row.version.0)
                     .with("members", world.tables.roster.len())
                     .with("settled", world.tables.roster.is_settled);
-                tick.log(note);
+                tick.log(record);
             }
             _ => {}
         }
@@ -127,7 +128,7 @@
 /// Forgets the rows that a whole reading does not have.
 fn drop_absent(world: &mut World, tick: &mut Tick, rows: &[Row]) {
     let is_there =
-        |name: &CompactString| rows.iter().any(|row| row.name == Name::Node(name.clone()));
+        |name: &CompactString| rows.iter().any(|row| row.key == RowKey::Node(name.clone()));
     if !is_there(world.identity.name()) {
         world.systems.fleet.own = None;
     }
@@ -147,26 +148,26 @@
     tick: &mut Tick,
     name: &CompactString,
     announcement: &Announcement,
-    position: Position,
+    version: StoreVersion,
 ) {
     if name == world.identity.name() {
-        world.systems.fleet.own = Some((announcement.node, position));
+        world.systems.fleet.own = Some((announcement.node, version));
         return;
     }
     let known = world.tables.peers.by_name(name);
     if let Some(peer) = known.and_then(|known| world.tables.peers.get_mut(known)) {
-        if peer.row.is_some_and(|row| row >= position) {
+        if peer.row.is_some_and(|row| row >= version) {
             return;
         }
         if peer.announcement == *announcement {
-            peer.row = Some(position);
+            peer.row = Some(version);
             return;
         }
     }
     let has_returned = world.systems.fleet.removed.contains(&announcement.node);
     let key = meet(world, tick, announcement.clone());
     if let Some(peer) = world.tables.peers.get_mut(key) {
-        peer.row = Some(position);
+        peer.row = Some(version);
         peer.has_returned = has_returned;
     }
 }
@@ -212,12 +213,12 @@
     if let Some(service) = tables.services.get_mut(service) {
         service.peers.push(key);
     }
-    let note = Note::new(Level::Info, "peer_found")
+    let record = Record::new(Level::Info, "peer_found")
         .with("peer", announcement.name.clone())
         .with("node", announcement.node)
         .with("service", announcement.service.clone())
         .with("address", announcement.address.clone());
-    tick.log(note);
+    tick.log(record);
     tick.commands.push(Command::Link(announcement));
     key
 }
@@ -227,11 +228,11 @@
     if let Some(service) = world.tables.services.get_mut(peer.service) {
         service.peers.retain(|other| *other != key);
     }
-    let note = Note::new(Level::Info, "peer_forgotten")
+    let record = Record::new(Level::Info, "peer_forgotten")
         .with("peer", peer.announcement.name)
         .with("node", peer.announcement.node)
         .with("why", why);
-    tick.log(note);
+    tick.log(record);
     tick.commands.push(Command::Unlink(peer.announcement.node));
 }
 
@@ -258,7 +259,7 @@
         return;
     }
     let level = if link == Link::Up { Level::Info } else { Level::Warn };
-    let note = Note::new(level, "peer_link")
+    let record = Record::new(level, "peer_link")
         .with("peer", peer.announcement.name.clone())
         .with("node", node)
         .with("state", link.name())
@@ -274,7 +275,7 @@
         peer.load = None;
     }
     let has_row = peer.row.is_some();
-    tick.log(note);
+    tick.log(record);
     if is_end && !has_row && world.systems.fleet.read.is_some() {
         forget(world, tick, key, "gone");
     }
@@ -300,13 +301,13 @@
         is_lost && tick.now - peer.link_since >= Millis(after.0 * factor)
     });
     let Some((_, peer)) = lost else { return };
-    let Some(position) = peer.row else { return };
-    let note = Note::new(Level::Info, "peer_unreachable")
+    let Some(version) = peer.row else { return };
+    let record = Record::new(Level::Info, "peer_unreachable")
         .with("peer", peer.announcement.name.clone())
         .with("silent", tick.now - peer.link_since);
-    let name = Name::Node(peer.announcement.name.clone());
-    tick.log(note);
-    let expected = vec![(name.clone(), position)];
-    let operation = Operation::Write { expected, puts: Vec::new(), removals: vec![name] };
+    let key = RowKey::Node(peer.announcement.name.clone());
+    tick.log(record);
+    let expected = vec![(key.clone(), version)];
+    let operation = Operation::Write { expected, puts: Vec::new(), removals: vec![key] };
     world.ask_store(tick, operation);
 }
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -1,4 +1,4 @@
-//! Watches the store for news, and keeps the age of the node's knowledge.
+//! Watches the store for changes, and keeps the age of the node's knowledge.
 //!
 //! Knowledge counts as of the point at which the question was sent, or, where the store tells how
 //! its steady clock stands, as of the point at which it must have answered: see [`pace`].
@@ -10,15 +10,15 @@
 
 use crate::{
     clock::Millis,
-    id::Position,
-    note::{Level, Note},
+    id::StoreVersion,
+    log::{Level, Record},
     store::{Area, Operation, Refused, Reply, Ticket},
     table::latency::Step,
     world::{Tick, World},
 };
 
-/// How long the store holds a question for rows of nodes, which change seldom. News of the
-/// configuration shows by the store's position whether there were any.
+/// How long the store holds a question for rows of nodes, which change seldom. A reply about
+/// the configuration shows by the store's version whether there were any.
 const FLEET_WATCH: Millis = Millis(20_000);
 /// The pause after a question that was lost, and the same again by chance.
 const LOST_PAUSE: Millis = Millis(60);
@@ -98,12 +98,12 @@
     sent: Millis,
 ) {
     let pause = match &tick.inbox.store[index].1 {
-        Reply::News { upto, clock, .. } => {
-            let (upto, clock) = (*upto, *clock);
+        Reply::Changes { up_to, clock, .. } => {
+            let (up_to, clock) = (*up_to, *clock);
             let as_of = world.systems.freshness.pace.answered(clock, sent, tick.now);
             world.systems.freshness.delay = tick.now - as_of;
             world.tables.latencies.step(Step::Store, tick.now - as_of);
-            learned(world, tick, area, upto, as_of);
+            learned(world, tick, area, up_to, as_of);
             let state = &mut world.systems.freshness;
             let watch = watch_at(state, place);
             watch.failures = 0;
@@ -114,14 +114,14 @@
                 Area::Configuration => world.tables.configuration.read = None,
                 Area::Fleet => world.systems.fleet.read = None,
             }
-            let note = Note::new(Level::Info, "store_history_gone");
-            tick.log(note.with("area", area_name(area)));
+            let record = Record::new(Level::Info, "store_history_gone");
+            tick.log(record.with("area", area_name(area)));
             Millis::ZERO
         }
         Reply::Refused(refused) => {
             let busy = *refused == Refused::Busy;
-            let note = Note::new(Level::Warn, "store_refused");
-            tick.log(note.with("area", area_name(area)).with("busy", busy));
+            let record = Record::new(Level::Warn, "store_refused");
+            tick.log(record.with("area", area_name(area)).with("busy", busy));
             REFUSED_PAUSE
         }
         Reply::Lost | Reply::Written { .. } | Reply::Conflict => LOST_PAUSE,
@@ -148,15 +148,15 @@
     }
 }
 
-/// The store has answered a question about an area up to a position.
-fn learned(world: &mut World, tick: &Tick, area: Area, upto: Position, as_of: Millis) {
+/// The store has answered a question about an area up to a version.
+fn learned(world: &mut World, tick: &Tick, area: Area, up_to: StoreVersion, as_of: Millis) {
     let freshness = &mut world.tables.freshness;
     match area {
         Area::Configuration => {
             let read = &mut world.tables.configuration.read;
-            *read = (*read).max(Some(upto));
+            *read = (*read).max(Some(up_to));
             freshness.configuration_as_of = freshness.configuration_as_of.max(Some(as_of));
-            if world.systems.fleet.read.is_some_and(|read| read >= upto) {
+            if world.systems.fleet.read.is_some_and(|read| read >= up_to) {
                 // Nothing has been written since the rows of nodes were read.
                 freshness.fleet_as_of = freshness.fleet_as_of.max(Some(as_of));
             } else if world.systems.fleet.read.is_some() {
@@ -167,7 +167,7 @@
         }
         Area::Fleet => {
             let read = &mut world.systems.fleet.read;
-            *read = (*read).max(Some(upto));
+            *read = (*read).max(Some(up_to));
             freshness.fleet_as_of = freshness.fleet_as_of.max(Some(as_of));
             world.systems.freshness.is_behind = false;
         }
@@ -256,5 +256,5 @@
     let event = if fresh { "store_regained" } else { "store_lost" };
     let level = if fresh { Level::Info } else { Level::Warn };
     let revision = world.tables.configuration.revision.0;
-    tick.log(Note::new(level, event).with("configuration_age", age).with("revision", revision));
+    tick.log(Record::new(level, event).with("configuration_age", age).with("revision", revision));
 }
--- a/crates/mustardpin-world/src/system/freshness/relay.rs
+++ b/crates/mustardpin-world/src/system/freshness/relay.rs
@@ -45,7 +45,7 @@
         age: tables.freshness.configuration_age(tick.now),
         revision: tables.configuration.revision,
         fleet_age: tables.freshness.fleet_age(tick.now),
-        roster: tables.roster.position,
+        roster: tables.roster.version,
     };
     world.send_to(tick, to, message);
 }
@@ -65,7 +65,7 @@
     if tables.configuration.revision >= revision && age < sent {
         freshness.configuration_as_of = freshness.configuration_as_of.max(Some(sent - age));
     }
-    if tables.roster.position >= roster && fleet_age < sent {
+    if tables.roster.version >= roster && fleet_age < sent {
         freshness.fleet_as_of = freshness.fleet_as_of.max(Some(sent - fleet_age));
     }
 }
--- a/crates/mustardpin-world/src/system/pressure/strain.rs
+++ b/crates/mustardpin-world/src/system/pressure/strain.rs
@@ -1,13 +1,13 @@
 //! How far the node itself is behind with its work.
 //!
-//! The traffic side sends beats that are due at fixed times. How late one is taken in shows what
-//! waits on all threads before it, whatever it is that takes the processor's time. A node that falls
-//! behind works on requests whose callers have gone, so it lets fewer requests in, and tells its
-//! peers that more is asked of it than it can do.
+//! The traffic side sends lag probes that are due at fixed times. How late one is taken in shows
+//! what waits on all threads before it, whatever it is that takes the processor's time. A node that
+//! falls behind works on requests whose callers have gone, so it lets fewer requests in, and tells
+//! its peers that more is asked of it than it can do.
 
 use crate::{
     clock::Millis,
-    note::{Level, Note},
+    log::{Level, Record},
     world::{Tick, World},
 };
 
@@ -15,9 +15,9 @@
 const BEHIND: Millis = Millis(100);
 /// A node that is no further behind than this lets more in.
 const IN_TIME: Millis = Millis(40);
-/// What the share is multiplied by with each late beat.
+/// What the share is multiplied by with each late lag probe.
 const FALL: f64 = 0.85;
-/// What the share grows by with each beat in time.
+/// What the share grows by with each lag probe in time.
 const RISE: f64 = 0.03;
 /// The share never falls below this.
 const LEAST_SHARE: f64 = 0.1;
@@ -51,7 +51,7 @@
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    for due in std::mem::take(&mut tick.inbox.beats) {
+    for due in std::mem::take(&mut tick.inbox.lag_probes) {
         let lag = tick.now - due;
         let state = &mut world.systems.pressure.strain;
         let before = state.admitted;
@@ -64,8 +64,8 @@
         let is_change = (before < 1.0) != (state.admitted < 1.0);
         if is_change {
             let is_behind = state.admitted < 1.0;
-            let note = Note::new(Level::Warn, "behind").with("on", is_behind).with("lag", lag);
-            tick.log(note);
+            let record = Record::new(Level::Warn, "behind").with("on", is_behind).with("lag", lag);
+            tick.log(record);
         }
     }
 }
--- a/crates/mustardpin-world/src/system/proposal.rs
+++ b/crates/mustardpin-world/src/system/proposal.rs
@@ -11,8 +11,8 @@
     command::Command,
     config::{ChangeError, Record},
     event::{Proposal, ProposalTicket},
-    id::{Position, Revision},
-    store::{Area, Name, Operation, Refused, Reply, Ticket, Value},
+    id::{Revision, StoreVersion},
+    store::{Area, Operation, Refused, Reply, RowKey, Ticket, Value},
     system::validation,
     world::{Tick, World},
 };
@@ -75,12 +75,12 @@
         Wait::Until(at) if tick.now < at => tick.wake(at),
         Wait::Until(_) => open.wait = Wait::Read(read(world, tick)),
         Wait::Read(ticket) => match reply_to(tick, ticket)? {
-            Reply::News { .. } => return attempt(world, tick, open),
+            Reply::Changes { .. } => return attempt(world, tick, open),
             _ => pause(world, tick, open),
         },
         Wait::Write(ticket) => match reply_to(tick, ticket)? {
-            Reply::Written { position } => {
-                let revision = Revision(position.0);
+            Reply::Written { version } => {
+                let revision = Revision(version.0);
                 accept(world, &open.proposal, revision);
                 return Some(Ok(revision));
             }
@@ -137,10 +137,10 @@
     let written = proposal
         .rows
         .iter()
-        .map(|row| (Name::Configuration(row.path()), Value::Configuration(row.clone())));
-    let puts = written.chain([(Name::Head, Value::Head(recent))]).collect();
-    let removals = proposal.removals.iter().cloned().map(Name::Configuration).collect();
-    Operation::Write { expected: vec![(Name::Head, configuration.head)], puts, removals }
+        .map(|row| (RowKey::Configuration(row.path()), Value::Configuration(row.clone())));
+    let puts = written.chain([(RowKey::Head, Value::Head(recent))]).collect();
+    let removals = proposal.removals.iter().cloned().map(RowKey::Configuration).collect();
+    Operation::Write { expected: vec![(RowKey::Head, configuration.head)], puts, removals }
 }
 
 /// Puts an accepted change in force here at once.
@@ -151,8 +151,8 @@
         world.tables.apply_record(Record { path, revision, row });
     }
     let configuration = &mut world.tables.configuration;
-    if Position(revision.0) > configuration.head {
-        configuration.head = Position(revision.0);
+    if StoreVersion(revision.0) > configuration.head {
+        configuration.head = StoreVersion(revision.0);
         configuration.recent.push(proposal.id.clone());
     }
     configuration.revision = configuration.revision.max(revision);
--- a/crates/mustardpin-world/src/system/quarantine.rs
+++ b/crates/mustardpin-world/src/system/quarantine.rs
@@ -12,8 +12,8 @@
 use crate::{
     clock::Millis,
     id::{CallKey, PeerKey},
+    log::{Level, Record},
     message::quarantine::Message,
-    note::{Level, Note},
     refusal::{Reason, Refusal},
     request::{Fingerprint, RunEnd, Verdict},
     system::{TargetChange, finish},
@@ -140,10 +140,10 @@
     let most = if is_trial { options.crashes } else { options.crashes.saturating_sub(1) };
     let crashes = world.tables.suspects.accuse(fingerprint, until, most, options.limit);
     if crashes == options.crashes {
-        let note = Note::new(Level::Warn, "request_quarantined")
+        let record = Record::new(Level::Warn, "request_quarantined")
             .with("fingerprint", format!("{:016x}", fingerprint.0))
             .with("crashes", crashes);
-        tick.log(note);
+        tick.log(record);
     }
 }
 
--- a/crates/mustardpin-world/src/system/rating/drawing.rs
+++ b/crates/mustardpin-world/src/system/rating/drawing.rs
@@ -178,7 +178,7 @@
 
 /// Brings a stock's list of keepers up to date with the roster and the team's terms.
 fn find_keepers(world: &mut World, team: TeamKey, terms: &Terms) {
-    let roster = world.tables.roster.position;
+    let roster = world.tables.roster.version;
     let Some(stock) = world.tables.shares.stocks.get(team) else { return };
     if stock.keepers_roster == roster && stock.sources.len() == usize::from(terms.shards) {
         return;
--- a/crates/mustardpin-world/src/system/rating/keeping.rs
+++ b/crates/mustardpin-world/src/system/rating/keeping.rs
@@ -5,7 +5,7 @@
 use crate::{
     clock::Millis,
     config::CutOffPolicy,
-    id::{Position, Revision, TeamKey},
+    id::{Revision, StoreVersion, TeamKey},
     message::share::{self, Shard},
     system::rating::{policy, terms},
     table::share::{Bucket, Terms},
@@ -20,7 +20,7 @@
 /// A bucket that another node handed over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Handover {
-    pub(super) roster: Position,
+    pub(super) roster: StoreVersion,
     pub(super) team: CompactString,
     pub(super) shard: Shard,
     pub(super) level: u64,
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// The roster and the configuration that the buckets belong to.
-    reconciled: (Position, Revision),
+    reconciled: (StoreVersion, Revision),
     /// Buckets handed over for a roster that this node has not learned of yet.
     early: Vec<Handover>,
 }
@@ -38,7 +38,7 @@
 /// Adds buckets for shards that this node has come to keep. Runs once for each roster and each
 /// revision of the configuration.
 pub(super) fn reconcile(world: &mut World, now: Millis) {
-    let wanted = (world.tables.roster.position, world.tables.configuration.revision);
+    let wanted = (world.tables.roster.version, world.tables.configuration.revision);
     if world.systems.rating.keeping.reconciled == wanted {
         return;
     }
@@ -96,11 +96,11 @@
 /// Gives up buckets of shards that this node keeps no longer, and hands over those that another
 /// node keeps now.
 pub(super) fn hand_over_lost(world: &mut World, tick: &mut Tick) {
-    let position = world.tables.roster.position;
-    if world.tables.shares.buckets_roster == position {
+    let version = world.tables.roster.version;
+    if world.tables.shares.buckets_roster == version {
         return;
     }
-    world.tables.shares.buckets_roster = position;
+    world.tables.shares.buckets_roster = version;
     let policy = policy::of(&world.options.rating);
     let (roster, own) = (&world.tables.roster, &world.identity);
     let mut lost = Vec::new();
@@ -124,7 +124,7 @@
         let Some(terms) = terms(world, bucket.team) else { continue };
         let Some(keeper) = world.tables.peers.by_name(&keeper) else { continue };
         bucket.refresh(&terms, tick.now);
-        let (roster, shard, level) = (position, bucket.shard, bucket.level);
+        let (roster, shard, level) = (version, bucket.shard, bucket.level);
         world.send(tick, keeper, share::Message::Handover { roster, team, shard, level });
     }
 }
@@ -154,7 +154,7 @@
 
 /// Takes a bucket in that its last keeper hands over, or keeps it for a roster to come.
 pub(super) fn handed_over(world: &mut World, now: Millis, handover: Handover) {
-    let current = world.tables.roster.position;
+    let current = world.tables.roster.version;
     if handover.roster > current {
         if world.systems.rating.keeping.early.len() < MAX_EARLY {
             world.systems.rating.keeping.early.push(handover);
@@ -165,7 +165,7 @@
 }
 
 fn take_over(world: &mut World, now: Millis, handover: &Handover) {
-    if handover.roster != world.tables.roster.position {
+    if handover.roster != world.tables.roster.version {
         return;
     }
     let Some(team) = world.tables.teams.by_name(&handover.team) else { return };
--- a/crates/mustardpin-world/src/system/registration.rs
+++ b/crates/mustardpin-world/src/system/registration.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     clock::Millis,
-    note::{Level, Note},
-    store::{Name, Operation, Reply, Ticket, Value},
+    log::{Level, Record},
+    store::{Operation, Reply, RowKey, Ticket, Value},
     world::{Tick, World},
 };
 
@@ -47,16 +47,16 @@
     if tick.now < world.systems.registration.next_try {
         return tick.wake(world.systems.registration.next_try);
     }
-    let name = Name::Node(world.identity.name().clone());
-    let position = is_there.map(|(_, position)| position).unwrap_or_default();
-    let expected = vec![(name.clone(), position)];
+    let key = RowKey::Node(world.identity.name().clone());
+    let version = is_there.map(|(_, version)| version).unwrap_or_default();
+    let expected = vec![(key.clone(), version)];
     let operation = if is_wanted {
         let value = Value::Node(world.identity.announcement.clone());
-        Operation::Write { expected, puts: vec![(name, value)], removals: Vec::new() }
+        Operation::Write { expected, puts: vec![(key, value)], removals: Vec::new() }
     } else {
-        Operation::Write { expected, puts: Vec::new(), removals: vec![name] }
+        Operation::Write { expected, puts: Vec::new(), removals: vec![key] }
     };
-    tick.log(Note::new(Level::Info, "registering").with("present", is_wanted));
+    tick.log(Record::new(Level::Info, "registering").with("present", is_wanted));
     let ticket = world.ask_store(tick, operation);
     world.systems.registration.asked = Some(Asked { ticket, is_wanted });
 }
@@ -70,12 +70,13 @@
         }
         world.systems.registration.asked = None;
         match reply {
-            Reply::Written { position } => {
-                let own = asked.is_wanted.then_some((world.identity.node(), *position));
+            Reply::Written { version } => {
+                let own = asked.is_wanted.then_some((world.identity.node(), *version));
                 world.systems.fleet.own = own;
             }
             _ => {
-                // A row that is not as expected comes as news; one that was written after all too.
+                // A row that is not as expected comes as a change; one that was written after all
+                // too.
                 let pause = RETRY + world.jitter(RETRY);
                 world.systems.registration.next_try = tick.now + pause;
             }
--- a/crates/mustardpin-world/src/system/roster.rs
+++ b/crates/mustardpin-world/src/system/roster.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     clock::Millis,
-    note::{Level, Note},
-    store::{Member, Name, Operation, Reply, Roster, Ticket, Value},
+    log::{Level, Record},
+    store::{Member, Operation, Reply, Roster, RowKey, Ticket, Value},
     world::{Tick, World},
 };
 
@@ -70,13 +70,13 @@
 }
 
 fn propose(world: &mut World, tick: &mut Tick, members: Vec<Member>) {
-    let position = world.tables.roster.position;
-    let note = Note::new(Level::Info, "roster_proposed")
+    let version = world.tables.roster.version;
+    let record = Record::new(Level::Info, "roster_proposed")
         .with("members", members.len())
-        .with("after", position.0);
-    tick.log(note);
-    let expected = vec![(Name::Roster, position)];
-    let puts = vec![(Name::Roster, Value::Roster(Roster { members }))];
+        .with("after", version.0);
+    tick.log(record);
+    let expected = vec![(RowKey::Roster, version)];
+    let puts = vec![(RowKey::Roster, Value::Roster(Roster { members }))];
     let operation = Operation::Write { expected, puts, removals: Vec::new() };
     world.systems.roster.asked = Some(world.ask_store(tick, operation));
     world.systems.roster.due = None;
@@ -87,7 +87,7 @@
     let replies = tick.inbox.store.iter().filter(|(ticket, _)| Some(*ticket) == asked);
     for (_, reply) in replies {
         world.systems.roster.asked = None;
-        // Whatever the outcome, the row itself comes as news.
+        // Whatever the outcome, the row itself comes as a change.
         if !matches!(reply, Reply::Written { .. }) {
             world.systems.roster.due = None;
         }
--- a/crates/mustardpin-world/src/system/target.rs
+++ b/crates/mustardpin-world/src/system/target.rs
@@ -5,9 +5,9 @@
 
 use crate::{
     clock::Millis,
-    command::{Command, TargetPlace},
+    command::{Command, TargetAddress},
     event::TargetReport,
-    note::{Level, Note},
+    log::{Level, Record},
     refusal::{Reason, Refusal},
     request::Verdict,
     system::{TargetChange, finish, queueing},
@@ -27,7 +27,7 @@
                 let is_own = *instance == world.tables.target.report.instance;
                 if is_own && world.tables.target.is_open() {
                     world.tables.target.report.draining = true;
-                    note(world, tick, "target_deregistered");
+                    log_target(world, tick, "target_deregistered");
                 }
             }
             TargetChange::Lost => lose(world, tick),
@@ -50,19 +50,20 @@
 fn take_report(world: &mut World, tick: &mut Tick, report: TargetReport) {
     let target = &mut world.tables.target;
     if is_late(target, &report) {
-        let note = Note::new(Level::Info, "target_report_ignored")
+        let record = Record::new(Level::Info, "target_report_ignored")
             .with("instance", report.instance)
             .with("sequence", report.sequence)
             .with("known_instance", target.report.instance.clone())
             .with("known_sequence", target.report.sequence);
-        return tick.log(note);
+        return tick.log(record);
     }
     let is_new = is_another(target, &report);
     let is_change = is_new
         || !target.present
         || target.report.draining != report.draining
         || target.report.slots != report.slots;
-    let place = TargetPlace { address: report.address.clone(), instance: report.instance.clone() };
+    let place =
+        TargetAddress { address: report.address.clone(), instance: report.instance.clone() };
     let moved = is_new || !target.present || target.report.address != report.address;
     target.present = true;
     target.reported = tick.now;
@@ -75,7 +76,7 @@
         tick.commands.push(Command::Target(Some(place)));
     }
     if is_change {
-        note(world, tick, "target_reported");
+        log_target(world, tick, "target_reported");
     }
 }
 
@@ -96,16 +97,16 @@
     report.born != target.report.born || report.instance != target.report.instance
 }
 
-fn note(world: &World, tick: &mut Tick, event: &'static str) {
+fn log_target(world: &World, tick: &mut Tick, event: &'static str) {
     let report = &world.tables.target.report;
-    let note = Note::new(Level::Info, event)
+    let record = Record::new(Level::Info, event)
         .with("instance", report.instance.clone())
         .with("address", report.address.clone())
         .with("sequence", report.sequence)
         .with("slots", report.slots.unwrap_or_default())
         .with("draining", report.draining)
         .with("cold", report.cold);
-    tick.log(note);
+    tick.log(record);
 }
 
 fn lose(world: &mut World, tick: &mut Tick) {
@@ -116,8 +117,8 @@
     tick.commands.push(Command::Target(None));
     let silent = tick.now - world.tables.target.reported;
     let instance = world.tables.target.report.instance.clone();
-    let note = Note::new(Level::Warn, "target_lost");
-    tick.log(note.with("instance", instance).with("silent", silent));
+    let record = Record::new(Level::Warn, "target_lost");
+    tick.log(record.with("instance", instance).with("silent", silent));
 }
 
 /// Finds other places for what waits for a target that takes no more requests.
--- a/crates/mustardpin-world/src/table/configuration.rs
+++ b/crates/mustardpin-world/src/table/configuration.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     config::{CutOffPolicy, Fleet, Kind, Path, Rank, Record, Row, Update},
-    id::{Position, Revision, RouteKey, TeamKey},
+    id::{Revision, RouteKey, StoreVersion, TeamKey},
     table::Tables,
 };
 
@@ -16,9 +16,9 @@
     /// The revision the node is at. Never falls.
     pub revision: Revision,
     /// How far the node has read the store's area.
-    pub read: Option<Position>,
-    /// The position of the head row, as the store last gave it.
-    pub head: Position,
+    pub read: Option<StoreVersion>,
+    /// The version of the head row, as the store last gave it.
+    pub head: StoreVersion,
     /// The ids of the last changes, newest last, as the store last gave them.
     pub recent: Vec<CompactString>,
     /// Every row, and every removal that the node has seen, by path.
--- a/crates/mustardpin-world/src/table/peer.rs
+++ b/crates/mustardpin-world/src/table/peer.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     clock::Millis,
-    id::{NodeId, PeerKey, Position, Revision, ServiceKey},
+    id::{NodeId, PeerKey, Revision, ServiceKey, StoreVersion},
     request::Load,
     store::Announcement,
     table::health::Health,
@@ -55,8 +55,8 @@
     pub service: ServiceKey,
     /// Whether it stands in the own data centre.
     pub is_local: bool,
-    /// The position of its row in the store, if it has one that this node knows.
-    pub row: Option<Position>,
+    /// The version of its row in the store, if it has one that this node knows.
+    pub row: Option<StoreVersion>,
     /// Whether it has written its row again after someone removed it.
     pub has_returned: bool,
     /// The state of the connection to it.
--- a/crates/mustardpin-world/src/table/roster.rs
+++ b/crates/mustardpin-world/src/table/roster.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock::Millis,
     hash,
-    id::Position,
+    id::StoreVersion,
     message::share::Shard,
     store::{self, Member},
 };
@@ -17,8 +17,8 @@
 /// The roster as this node knows it.
 #[derive(Debug, Default)]
 pub struct Roster {
-    /// The position of its row in the store; zero if it was never written.
-    pub position: Position,
+    /// The version of its row in the store; zero if it was never written.
+    pub version: StoreVersion,
     /// When this node learned of it.
     pub learned: Millis,
     /// Whether it was there when this node first read the store, rather than changed since.
@@ -29,9 +29,9 @@
 
 impl Roster {
     /// Takes another roster in.
-    pub fn replace(&mut self, position: Position, roster: &store::Roster, now: Millis) {
-        self.is_settled = self.position == Position(0);
-        self.position = position;
+    pub fn replace(&mut self, version: StoreVersion, roster: &store::Roster, now: Millis) {
+        self.is_settled = self.version == StoreVersion(0);
+        self.version = version;
         self.learned = now;
         self.by_data_centre.clear();
         let mut members: Vec<&Member> = roster.members.iter().collect();
--- a/crates/mustardpin-world/src/table/share.rs
+++ b/crates/mustardpin-world/src/table/share.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     clock::Millis,
-    id::{CallKey, Position, TeamKey},
+    id::{CallKey, StoreVersion, TeamKey},
     message::share::Shard,
 };
 
@@ -176,8 +176,8 @@
     pub last_request: Millis,
     /// The keepers of the team's shards, the nearest first, as of `keepers_roster`.
     pub keepers: Vec<Keeper>,
-    /// The position of the roster by which the keepers were found.
-    pub keepers_roster: Position,
+    /// The version of the roster by which the keepers were found.
+    pub keepers_roster: StoreVersion,
     /// What the node knows of each shard.
     pub sources: SmallVec<[Source; MAX_SHARDS as usize]>,
 }
@@ -211,8 +211,8 @@
 pub struct Shares {
     buckets: SlotMap<BucketKey, Bucket>,
     by_shard: BTreeMap<(TeamKey, Shard), BucketKey>,
-    /// The position of the roster for which buckets of lost shards were given up.
-    pub buckets_roster: Position,
+    /// The version of the roster for which buckets of lost shards were given up.
+    pub buckets_roster: StoreVersion,
     /// The node's stock of each team's tokens.
     pub stocks: SecondaryMap<TeamKey, Stock>,
 }
--- a/crates/mustardpin-world/src/world.rs
+++ b/crates/mustardpin-world/src/world.rs
@@ -9,8 +9,8 @@
     command::Command,
     event::Event,
     id::{NodeId, PeerKey},
+    log::Record,
     message::Message,
-    note::Note,
     options::Options,
     store::{Announcement, Operation, Ticket},
     system,
@@ -72,8 +72,8 @@
     }
 
     /// Writes a log line.
-    pub(crate) fn log(&mut self, note: Note) {
-        self.commands.push(Command::Log(note));
+    pub(crate) fn log(&mut self, record: Record) {
+        self.commands.push(Command::Log(record));
     }
 }
 
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -6,7 +6,7 @@
 use mustardpin_node::{Launch, launch::Borders};
 use mustardpin_platform::{Client, store::WhoWrites};
 use mustardpin_settings::Settings;
-use mustardpin_wire::own::Own;
+use mustardpin_wire::native::Native;
 
 use crate::{cmd::settings_file, error::Error};
 
@@ -24,7 +24,7 @@
     let settings = Settings::load(&file)?;
     let platform = settings.platform;
     let borders = Borders {
-        dialect: Arc::new(Own::new(settings.service.clone())),
+        dialect: Arc::new(Native::new(settings.service.clone())),
         store: Box::new(move |control| {
             Box::new(Client::new(platform.address, platform.timeout, WhoWrites::Nodes, control))
         }),
