--- a/crates/mustardpin-node/src/control.rs
+++ b/crates/mustardpin-node/src/control.rs
@@ -8,7 +8,7 @@
 use mustardpin_world::{
     Options, World,
     event::{Event, Proposal},
-    log::Record,
+    log::Entry,
 };
 use tokio::sync::oneshot;
 
@@ -33,7 +33,7 @@
     /// Things happened, in this order.
     Events(Vec<Event>),
     /// Something that the world has no part in is worth a log line.
-    Log(Record),
+    LogEntry(Entry),
     /// An operator proposed a change.
     Proposed(Proposal, oneshot::Sender<Answer>),
     /// Reads the tables between two ticks.
@@ -89,8 +89,8 @@
     }
 
     /// Writes a log line.
-    pub fn log(&self, record: Record) {
-        self.send(Input::Log(record));
+    pub fn write_log(&self, entry: Entry) {
+        self.send(Input::LogEntry(entry));
     }
 
     /// Puts other settings in force.
--- a/crates/mustardpin-node/src/control/thread.rs
+++ b/crates/mustardpin-node/src/control/thread.rs
@@ -94,7 +94,7 @@
                 self.proposals.insert(self.last_proposal, answer);
                 events.push(Event::Proposed(self.last_proposal, proposal));
             }
-            Input::Log(record) => self.borders.log.write(record),
+            Input::LogEntry(entry) => self.borders.log.write(entry),
             Input::Reloaded(log, options) => {
                 self.borders.log.reload(log);
                 events.push(Event::Reloaded(*options));
@@ -136,7 +136,7 @@
                 return self.borders.store.ask(ticket, operation);
             }
             Command::Answer(ticket, answer) => return self.answer(ticket, answer),
-            Command::Log(record) => return self.borders.log.write(record),
+            Command::Log(entry) => return self.borders.log.write(entry),
             Command::Wake(at) => {
                 self.wake = at;
                 return;
--- a/crates/mustardpin-node/src/log.rs
+++ b/crates/mustardpin-node/src/log.rs
@@ -11,7 +11,7 @@
 
 use derive_more::{Display, Error, From};
 use mustardpin_settings::settings;
-use mustardpin_world::log::{Level, Record};
+use mustardpin_world::log::{Entry, Level};
 
 use self::{budget::Budget, writer::Writer};
 
@@ -32,7 +32,7 @@
 /// Takes log lines.
 pub trait LogSink: Send {
     /// Writes a line, or leaves it out. Never waits.
-    fn write(&mut self, record: Record);
+    fn write(&mut self, entry: Entry);
 
     /// From now on, lines are chosen by these options. The format stays.
     fn reload(&mut self, _options: Options) {}
@@ -98,10 +98,10 @@
     ///
     /// ```
     /// use mustardpin_node::log::{LogSink as _, Log, Options, Output};
-    /// use mustardpin_world::log::{Level, Record};
+    /// use mustardpin_world::log::{Entry, Level};
     ///
     /// let mut log = Log::open(Options::default(), Output::Standard)?;
-    /// log.write(Record::new(Level::Info, "started"));
+    /// log.write(Entry::new(Level::Info, "started"));
     /// # Ok::<(), mustardpin_node::log::Error>(())
     /// ```
     pub fn open(options: Options, output: Output) -> Result<Log, Error> {
@@ -112,22 +112,22 @@
 }
 
 impl LogSink for Log {
-    fn write(&mut self, record: Record) {
-        if record.level < self.options.level {
+    fn write(&mut self, entry: Entry) {
+        if entry.level < self.options.level {
             return;
         }
-        if !self.budget.take(Instant::now(), record.request.is_some()) {
+        if !self.budget.take(Instant::now(), entry.request.is_some()) {
             self.left_out += 1;
             return;
         }
         self.left_out += self.writer.take_failed();
         if self.left_out > 0 {
-            let left_out = Record::new(Level::Warn, "lines_left_out").with("count", self.left_out);
+            let left_out = Entry::new(Level::Warn, "lines_left_out").with("count", self.left_out);
             if self.writer.send(left_out) {
                 self.left_out = 0;
             }
         }
-        if !self.writer.send(record) {
+        if !self.writer.send(entry) {
             self.left_out += 1;
         }
     }
--- a/crates/mustardpin-node/src/log/line.rs
+++ b/crates/mustardpin-node/src/log/line.rs
@@ -3,23 +3,23 @@
 use std::{fmt::Write as _, time::SystemTime};
 
 use humantime::format_rfc3339_millis;
-use mustardpin_world::log::{Level, Record, Value};
+use mustardpin_world::log::{Entry, Level, Value};
 use serde::ser::{Serialize, SerializeMap as _, Serializer};
 
 use crate::log::Format;
 
 /// A line without its end.
-pub(super) fn write(format: Format, record: &Record, at: SystemTime) -> String {
+pub(super) fn write(format: Format, entry: &Entry, at: SystemTime) -> String {
     match format {
         Format::Json => {
             // Texts and numbers always become JSON.
-            serde_json::to_string(&Json { record, at }).unwrap_or_default()
+            serde_json::to_string(&Json { entry, at }).unwrap_or_default()
         }
         Format::Text => {
             let mut line = String::new();
             let time = format_rfc3339_millis(at);
             // A string takes all text.
-            let _ = write!(line, "{time} {} {record}", name(record.level));
+            let _ = write!(line, "{time} {} {entry}", name(entry.level));
             line
         }
     }
@@ -35,21 +35,21 @@
 
 /// A line as a JSON object.
 struct Json<'a> {
-    record: &'a Record,
+    entry: &'a Entry,
     at: SystemTime,
 }
 
 impl Serialize for Json<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let Json { record, at } = self;
+        let Json { entry, at } = self;
         let mut map = serializer.serialize_map(None)?;
         map.serialize_entry("time", &format_args!("{}", format_rfc3339_millis(*at)))?;
-        map.serialize_entry("level", name(record.level))?;
-        map.serialize_entry("event", record.event)?;
-        if let Some(request) = &record.request {
+        map.serialize_entry("level", name(entry.level))?;
+        map.serialize_entry("event", entry.event)?;
+        if let Some(request) = &entry.request {
             map.serialize_entry("request", request)?;
         }
-        for (key, value) in &record.fields {
+        for (key, value) in &entry.fields {
             match value {
                 Value::Number(number) => map.serialize_entry(key, number)?,
                 Value::Flag(flag) => map.serialize_entry(key, flag)?,
--- a/crates/mustardpin-node/src/log/writer.rs
+++ b/crates/mustardpin-node/src/log/writer.rs
@@ -11,7 +11,7 @@
     time::{Duration, SystemTime},
 };
 
-use mustardpin_world::log::{self, Record};
+use mustardpin_world::log::{self, Entry};
 use spdlog::{
     Level, LevelFilter, Logger,
     formatter::{PatternFormatter, pattern},
@@ -51,7 +51,7 @@
 
 /// A line to be written.
 struct Line {
-    record: Record,
+    entry: Entry,
     at: SystemTime,
 }
 
@@ -92,8 +92,8 @@
     }
 
     /// Hands a line to the thread. Returns false if there is no room for it.
-    pub(super) fn send(&self, record: Record) -> bool {
-        let line = Line { record, at: SystemTime::now() };
+    pub(super) fn send(&self, entry: Entry) -> bool {
+        let line = Line { entry, at: SystemTime::now() };
         self.lines.as_ref().is_some_and(|lines| lines.try_send(line).is_ok())
     }
 }
@@ -116,13 +116,13 @@
 fn write(logger: &Arc<Logger>, format: Format, lines: &Receiver<Line>) {
     while let Ok(first) = lines.recv() {
         thread::sleep(GATHER);
-        for Line { record, at } in std::iter::once(first).chain(lines.try_iter().take(ROOM)) {
-            let level = match record.level {
+        for Line { entry, at } in std::iter::once(first).chain(lines.try_iter().take(ROOM)) {
+            let level = match entry.level {
                 log::Level::Info => Level::Info,
                 log::Level::Warn => Level::Warn,
                 log::Level::Error => Level::Error,
             };
-            let line = line::write(format, &record, at);
+            let line = line::write(format, &entry, at);
             spdlog::log!(logger: logger, level, "{line}");
         }
         logger.flush();
--- a/crates/mustardpin-node/src/reload.rs
+++ b/crates/mustardpin-node/src/reload.rs
@@ -3,7 +3,7 @@
 use std::{path::PathBuf, time::Duration};
 
 use mustardpin_settings::Settings;
-use mustardpin_world::log::{Level, Record};
+use mustardpin_world::log::{Entry, Level};
 use tokio::{
     signal::unix::{SignalKind, signal},
     time,
@@ -67,10 +67,10 @@
         }
         match Settings::parse(&self.file, &text) {
             Ok(settings) => {
-                let record = Record::new(Level::Info, "settings_reloaded")
+                let entry = Entry::new(Level::Info, "settings_reloaded")
                     .with("changed", has_changed)
                     .with("asked", is_asked);
-                self.control.log(record);
+                self.control.write_log(entry);
                 self.control.reload(settings.log.into(), settings.options);
             }
             Err(error) => self.refuse(&error),
@@ -80,7 +80,7 @@
 
     /// The settings in force stay so.
     fn refuse(&self, error: &dyn std::error::Error) {
-        let record = Record::new(Level::Error, "settings_refused").with("cause", error.to_string());
-        self.control.log(record);
+        let entry = Entry::new(Level::Error, "settings_refused").with("cause", error.to_string());
+        self.control.write_log(entry);
     }
 }
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -287,7 +287,7 @@
                 return Ok(RunEnd::Declined.into());
             }
             ResponseKind::Misdirected => return Ok(RunEnd::Misdirected.into()),
-            ResponseKind::Response { load } => load,
+            ResponseKind::Valid { load } => load,
         };
         let mut fields = Vec::with_capacity(256);
         let dialect = &self.board.dialect;
--- a/crates/mustardpin-node/tests/testsuite/control.rs
+++ b/crates/mustardpin-node/tests/testsuite/control.rs
@@ -19,7 +19,7 @@
 use mustardpin_world::{
     Identity, Millis, Options, World,
     id::NodeId,
-    log::Record,
+    log::Entry,
     store::{Announcement, Operation, Ticket},
 };
 
@@ -30,20 +30,20 @@
 pub struct Silence {
     clock: Monotonic,
     asked: Arc<AtomicUsize>,
-    records: Arc<Mutex<Vec<Record>>>,
+    entries: Arc<Mutex<Vec<Entry>>>,
 }
 
 impl Silence {
     fn new() -> Silence {
-        Silence { clock: Monotonic::start(), asked: Arc::default(), records: Arc::default() }
+        Silence { clock: Monotonic::start(), asked: Arc::default(), entries: Arc::default() }
     }
 
     fn has_logged(&self, event: &str) -> bool {
-        self.records
+        self.entries
             .lock()
             .expect("no panic holds the lock")
             .iter()
-            .any(|record| record.event == event)
+            .any(|entry| entry.event == event)
     }
 }
 
@@ -59,8 +59,8 @@
 }
 
 impl LogSink for Silence {
-    fn write(&mut self, record: Record) {
-        self.records.lock().expect("no panic holds the lock").push(record);
+    fn write(&mut self, entry: Entry) {
+        self.entries.lock().expect("no panic holds the lock").push(entry);
     }
 }
 
--- a/crates/mustardpin-node/tests/testsuite/log.rs
+++ b/crates/mustardpin-node/tests/testsuite/log.rs
@@ -9,7 +9,7 @@
 use mustardpin_node::log::{Format, Log, LogSink as _, Options, Output};
 use mustardpin_world::{
     Millis,
-    log::{Level, Record},
+    log::{Entry, Level},
 };
 
 use crate::fake::wait_until;
@@ -48,8 +48,8 @@
     Log::open(options, Output::Other(Box::new(kept.clone()))).expect("the log opens")
 }
 
-fn refused(number: u64) -> Record {
-    Record::new(Level::Warn, "refused")
+fn refused(number: u64) -> Entry {
+    Entry::new(Level::Warn, "refused")
         .on(&format!("request-{number}").into())
         .with("reason", "queue_full")
         .with("held", Millis(12))
@@ -72,7 +72,7 @@
         let kept = Kept::default();
         let mut log = open(&kept, Options { format, ..Options::default() });
         log.write(refused(7));
-        log.write(Record::new(Level::Info, "started"));
+        log.write(Entry::new(Level::Info, "started"));
         drop(log);
         for line in kept.lines() {
             report.push_str(&timeless(&line));
@@ -86,10 +86,10 @@
 fn lines_below_the_level_are_left_out_and_a_reload_changes_it() {
     let kept = Kept::default();
     let mut log = open(&kept, Options { level: Level::Warn, ..Options::default() });
-    log.write(Record::new(Level::Info, "peer_found"));
+    log.write(Entry::new(Level::Info, "peer_found"));
     log.write(refused(1));
     log.reload(Options { level: Level::Info, ..Options::default() });
-    log.write(Record::new(Level::Info, "peer_found"));
+    log.write(Entry::new(Level::Info, "peer_found"));
     drop(log);
     let lines: Vec<String> = kept.lines().iter().map(|line| timeless(line)).collect();
     assert_eq!(lines.len(), 2, "{lines:?}");
@@ -104,7 +104,7 @@
     for number in 0..1_000 {
         log.write(refused(number));
     }
-    log.write(Record::new(Level::Info, "store_lost"));
+    log.write(Entry::new(Level::Info, "store_lost"));
     drop(log);
     let lines = kept.lines();
     assert!(lines.len() <= 2 * 10 + 2, "{} lines", lines.len());
@@ -142,7 +142,7 @@
         log.write(refused(number));
     }
     wait_until(|| !kept.lines().is_empty());
-    log.write(Record::new(Level::Info, "store_lost"));
+    log.write(Entry::new(Level::Info, "store_lost"));
     drop(log);
     let lines = kept.lines();
     assert_eq!(lines.len(), 3, "{lines:?}");
@@ -161,7 +161,7 @@
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
     drop(gate);
     wait_until(|| kept.lines().len() > 1_000);
-    log.write(Record::new(Level::Info, "store_lost"));
+    log.write(Entry::new(Level::Info, "store_lost"));
     drop(log);
     assert!(kept.lines().iter().any(|line| line.contains("lines_left_out count=")));
 }
--- a/crates/mustardpin-settings/src/settings.rs
+++ b/crates/mustardpin-settings/src/settings.rs
@@ -374,7 +374,7 @@
 }
 
 fn read_work(reader: &mut Reader, options: &mut Options) {
-    let Options { limit, queueing, pressure, rating, routing, quarantine, log, .. } = options;
+    let Options { limit, queueing, pressure, rating, routing, quarantine, logging, .. } = options;
     let algorithms = [("adaptive", LimitAlgorithm::Adaptive), ("slots", LimitAlgorithm::Slots)];
     limit.algorithm = reader.choice("limit.algorithm", &algorithms);
     let mut count = |key, value: &mut u32, least, most| {
@@ -387,7 +387,7 @@
     count("pressure.floor-percent", &mut pressure.floor_percent, 0, 100);
     count("quarantine.crashes", &mut quarantine.crashes, 1, 100);
     count("routing.local-preference", &mut routing.local_preference, 0, 10_000);
-    count("log.one-in", &mut log.one_in, 0, 1_000_000);
+    count("log.one-in", &mut logging.one_in, 0, 1_000_000);
     queueing.is_wait_strict = reader.flag("queueing.strict-wait", queueing.is_wait_strict);
     queueing.capacity =
         reader.count("queueing.capacity", queueing.capacity as u64, 0..=65_536) as usize;
--- a/crates/mustardpin-virtual/src/fleet.rs
+++ b/crates/mustardpin-virtual/src/fleet.rs
@@ -16,7 +16,7 @@
     Event, Identity, Millis, Options, World, config,
     event::{Proposal, ProposalTicket},
     id::{KeyDigest, NodeId, Revision},
-    log::Record,
+    log::Entry,
     request::{self, ForwardEnd, Load, Origin, RunEnd, Ticket, Verdict},
     store::{self, Announcement},
 };
@@ -136,7 +136,7 @@
     /// What operators were answered.
     pub answers: BTreeMap<u64, Result<Revision, config::ChangeError>>,
     /// Log lines of nodes that are not about a request.
-    pub log: Vec<(Millis, Site, Record)>,
+    pub log: Vec<(Millis, Site, Entry)>,
     /// Messages sent between worlds.
     pub messages: u64,
     /// The bytes that they took on the network, with the headers of the network's protocols.
--- a/crates/mustardpin-virtual/src/fleet/step.rs
+++ b/crates/mustardpin-virtual/src/fleet/step.rs
@@ -98,9 +98,9 @@
             }
             Command::Publish { load, urgent } => self.publish(site, load, urgent),
             Command::Ready(ready) => self.nodes[site.0].ready = ready,
-            Command::Log(record) => {
-                if record.request.is_none() {
-                    self.log.push((self.now, site, record));
+            Command::Log(entry) => {
+                if entry.request.is_none() {
+                    self.log.push((self.now, site, entry));
                 }
             }
             Command::Target(_) | Command::Callers(_) | Command::CloseIdle => {}
--- a/crates/mustardpin-virtual/tests/testsuite/roster.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/roster.rs
@@ -87,9 +87,9 @@
 /// Rosters that nodes learned of since a point, and how many members they have.
 fn rosters(scenario: &Scenario, since: Millis) -> BTreeMap<String, String> {
     let log = scenario.fleet.log.iter();
-    let log = log.filter(|(at, _, record)| *at >= since && record.event == "roster");
-    log.map(|(_, _, record)| {
-        let field = |name| record.fields.iter().find(|(other, _)| *other == name);
+    let log = log.filter(|(at, _, entry)| *at >= since && entry.event == "roster");
+    log.map(|(_, _, entry)| {
+        let field = |name| entry.fields.iter().find(|(other, _)| *other == name);
         let text = |name| field(name).map(|(_, value)| value.to_string()).unwrap_or_default();
         (text("position"), text("members"))
     })
--- a/crates/mustardpin-wire/src/dialect.rs
+++ b/crates/mustardpin-wire/src/dialect.rs
@@ -86,7 +86,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponseKind {
     /// It is the target's answer to the request.
-    Response {
+    Valid {
         /// What it says of the target's load.
         load: Option<TargetLoad>,
     },
--- a/crates/mustardpin-wire/src/native.rs
+++ b/crates/mustardpin-wire/src/native.rs
@@ -85,7 +85,7 @@
         match head.status {
             101 => ResponseKind::Unusable("the target switched protocols"),
             503 if declines => ResponseKind::Declined,
-            _ => ResponseKind::Response { load: None },
+            _ => ResponseKind::Valid { load: None },
         }
     }
 
--- a/crates/mustardpin-world/src/command.rs
+++ b/crates/mustardpin-world/src/command.rs
@@ -5,7 +5,7 @@
     config::{self, ChangeError},
     event::ProposalTicket,
     id::{NodeId, Revision},
-    log::Record,
+    log::Entry,
     message::Message,
     request::{Forward, Load, Run, Ticket, Verdict},
     store::{self, Announcement},
@@ -68,7 +68,7 @@
     /// From now on, say whether the node is ready for callers.
     Ready(bool),
     /// Write a log line.
-    Log(Record),
+    Log(Entry),
     /// Tell callers on idle connections to go elsewhere.
     CloseIdle,
     /// The node has finished everything and may exit.
--- a/crates/mustardpin-world/src/log.rs
+++ b/crates/mustardpin-world/src/log.rs
@@ -59,7 +59,7 @@
 
 /// A log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Record {
+pub struct Entry {
     /// How much it matters.
     pub level: Level,
     /// What happened.
@@ -70,29 +70,29 @@
     pub fields: Vec<(&'static str, Value)>,
 }
 
-impl Record {
+impl Entry {
     /// A line without fields.
     ///
     /// ```
-    /// use mustardpin_world::log::{Level, Record};
+    /// use mustardpin_world::log::{Entry, Level};
     ///
-    /// let record = Record::new(Level::Info, "peer_up").with("peer", "north-1".to_owned());
-    /// assert_eq!(record.to_string(), "peer_up peer=north-1");
+    /// let entry = Entry::new(Level::Info, "peer_up").with("peer", "north-1".to_owned());
+    /// assert_eq!(entry.to_string(), "peer_up peer=north-1");
     /// ```
-    pub fn new(level: Level, event: &'static str) -> Record {
-        Record { level, event, request: None, fields: Vec::with_capacity(USUAL_FIELDS) }
+    pub fn new(level: Level, event: &'static str) -> Entry {
+        Entry { level, event, request: None, fields: Vec::with_capacity(USUAL_FIELDS) }
     }
 
     /// The line, about a request.
     #[must_use]
-    pub fn on(mut self, request: &CompactString) -> Record {
+    pub fn on(mut self, request: &CompactString) -> Entry {
         self.request = Some(request.clone());
         self
     }
 
     /// The line with one field more.
     #[must_use]
-    pub fn with(mut self, name: &'static str, value: impl Into<Value>) -> Record {
+    pub fn with(mut self, name: &'static str, value: impl Into<Value>) -> Entry {
         self.fields.push((name, value.into()));
         self
     }
@@ -104,7 +104,7 @@
     }
 }
 
-impl std::fmt::Display for Record {
+impl std::fmt::Display for Entry {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(self.event)?;
         if let Some(request) = &self.request {
--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -32,7 +32,7 @@
     /// Options of the target system.
     pub target: Target,
     /// Options of log lines.
-    pub log: Log,
+    pub logging: Logging,
 }
 
 /// Options of the fleet system.
@@ -384,13 +384,13 @@
 
 /// Options of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Log {
+pub struct Logging {
     /// Ordinary decisions are written for one request in so many; zero writes none.
     pub one_in: u32,
 }
 
-impl Default for Log {
-    fn default() -> Log {
-        Log { one_in: 64 }
+impl Default for Logging {
+    fn default() -> Logging {
+        Logging { one_in: 64 }
     }
 }
--- a/crates/mustardpin-world/src/system/configuration.rs
+++ b/crates/mustardpin-world/src/system/configuration.rs
@@ -8,7 +8,7 @@
     command::Command,
     config::{Record, Update},
     id::{NodeId, Revision},
-    log::{self, Level},
+    log::{Entry, Level},
     message::configuration::Message,
     store::{Area, Changes, Reply, Row, RowKey, Value},
     system::LinkChange,
@@ -49,12 +49,12 @@
     if let Some(callers) = configuration.fleet.callers {
         tick.commands.push(Command::Callers(callers));
     }
-    let record = log::Record::new(Level::Info, "configuration")
+    let entry = Entry::new(Level::Info, "configuration")
         .with("revision", configuration.revision.0)
         .with("before", before.0)
         .with("rows", configuration.rows().count())
         .with("from", if configuration.revision == from_store { "store" } else { "peer" });
-    tick.log(record);
+    tick.log(entry);
 }
 
 /// Gives a peer the configuration, if it has an earlier one.
@@ -85,10 +85,8 @@
     world.send(tick, peer, Message::Want { after: own });
 }
 
-fn read_store(world: &mut World, reply: &Reply) {
-    let Reply::Changes { area: Area::Configuration, whole, up_to, changes, .. } = reply else {
-        return;
-    };
+fn read_store(world: &mut World, r: &Reply) {
+    let Reply::Changes { area: Area::Configuration, whole, up_to, changes, .. } = r else { return };
     match changes {
         Changes::Document(update) => world.tables.apply(update.clone()),
         Changes::Rows(rows) => {
--- a/crates/mustardpin-world/src/system/ending.rs
+++ b/crates/mustardpin-world/src/system/ending.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     id::CallKey,
-    log::{Level, Record},
+    log::{Entry, Level},
     refusal::{Outcome, Reason, Refusal},
     request::{ForwardEnd, RunEnd, Ticket, Verdict, is_final_status},
     system::finish,
@@ -59,15 +59,15 @@
     if call.is_logged || is_late || !is_final_status(status) {
         let level = if is_final_status(status) { Level::Info } else { Level::Warn };
         let peer = call.peer.and_then(|peer| world.tables.peers.get(peer));
-        let record = Record::new(level, "answered")
+        let entry = Entry::new(level, "answered")
             .on(&call.id)
             .with("status", u32::from(status))
             .with("took", tick.now - call.arrived)
             .with("since_sent", tick.now - call.since)
             .with("late", is_late);
         tick.log(match peer {
-            Some(peer) => record.with("peer", peer.announcement.name.clone()),
-            None => record,
+            Some(peer) => entry.with("peer", peer.announcement.name.clone()),
+            None => entry,
         });
     }
     if is_final_status(status) {
--- a/crates/mustardpin-world/src/system/finish.rs
+++ b/crates/mustardpin-world/src/system/finish.rs
@@ -3,7 +3,7 @@
 use crate::{
     command::Command,
     id::{CallKey, PeerKey},
-    log::{Level, Record},
+    log::{Entry, Level},
     refusal::{Outcome, Refusal},
     request::Verdict,
     system::resend,
@@ -24,7 +24,7 @@
         Verdict::Pass => world.tables.counters.work(Work::Answered),
         Verdict::Refuse(refusal) => {
             world.tables.counters.refuse(refusal.reason);
-            tick.log(refused_record(world, tick, &call, *refusal));
+            tick.log(refused_entry(world, tick, &call, *refusal));
         }
     }
     settle(world, tick, key, &call, verdict);
@@ -82,12 +82,12 @@
     Verdict::Refuse(Refusal { outcome: Outcome::Unknown, ..refusal })
 }
 
-fn refused_record(world: &World, tick: &Tick, call: &Call, refusal: Refusal) -> Record {
+fn refused_entry(world: &World, tick: &Tick, call: &Call, refusal: Refusal) -> Entry {
     let tables = &world.tables;
     let target = &tables.target;
     let service = tables.services.get(call.service);
     let peer = call.peer.and_then(|peer| tables.peers.get(peer));
-    let record = Record::new(Level::Warn, "refused")
+    let entry = Entry::new(Level::Warn, "refused")
         .on(&call.id)
         .with("reason", refusal.reason.to_string())
         .with("outcome", refusal.outcome.to_string())
@@ -102,8 +102,8 @@
         .with("revision", tables.configuration.revision.0)
         .with("configuration_age", tables.freshness.age);
     match peer {
-        Some(peer) => record.with("peer", peer.announcement.name.clone()),
-        None => record,
+        Some(peer) => entry.with("peer", peer.announcement.name.clone()),
+        None => entry,
     }
 }
 
--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -13,7 +13,7 @@
     clock::Millis,
     command::Command,
     id::{NodeId, PeerKey, Revision, StoreVersion},
-    log::{Level, Record},
+    log::{Entry, Level},
     message::fleet::Message,
     store::{Announcement, Area, Changes, Operation, Reply, Row, RowKey, Value},
     system::LinkChange,
@@ -114,11 +114,11 @@
                 if row.version > world.tables.roster.version =>
             {
                 world.tables.roster.replace(row.version, roster, tick.now);
-                let record = Record::new(Level::Info, "roster")
+                let entry = Entry::new(Level::Info, "roster")
                     .with("position", row.version.0)
                     .with("members", world.tables.roster.len())
                     .with("settled", world.tables.roster.is_settled);
-                tick.log(record);
+                tick.log(entry);
             }
             _ => {}
         }
@@ -213,12 +213,12 @@
     if let Some(service) = tables.services.get_mut(service) {
         service.peers.push(key);
     }
-    let record = Record::new(Level::Info, "peer_found")
+    let entry = Entry::new(Level::Info, "peer_found")
         .with("peer", announcement.name.clone())
         .with("node", announcement.node)
         .with("service", announcement.service.clone())
         .with("address", announcement.address.clone());
-    tick.log(record);
+    tick.log(entry);
     tick.commands.push(Command::Link(announcement));
     key
 }
@@ -228,11 +228,11 @@
     if let Some(service) = world.tables.services.get_mut(peer.service) {
         service.peers.retain(|other| *other != key);
     }
-    let record = Record::new(Level::Info, "peer_forgotten")
+    let entry = Entry::new(Level::Info, "peer_forgotten")
         .with("peer", peer.announcement.name)
         .with("node", peer.announcement.node)
         .with("why", why);
-    tick.log(record);
+    tick.log(entry);
     tick.commands.push(Command::Unlink(peer.announcement.node));
 }
 
@@ -259,7 +259,7 @@
         return;
     }
     let level = if link == Link::Up { Level::Info } else { Level::Warn };
-    let record = Record::new(level, "peer_link")
+    let entry = Entry::new(level, "peer_link")
         .with("peer", peer.announcement.name.clone())
         .with("node", node)
         .with("state", link.name())
@@ -275,7 +275,7 @@
         peer.load = None;
     }
     let has_row = peer.row.is_some();
-    tick.log(record);
+    tick.log(entry);
     if is_end && !has_row && world.systems.fleet.read.is_some() {
         forget(world, tick, key, "gone");
     }
@@ -302,11 +302,11 @@
     });
     let Some((_, peer)) = lost else { return };
     let Some(version) = peer.row else { return };
-    let record = Record::new(Level::Info, "peer_unreachable")
+    let entry = Entry::new(Level::Info, "peer_unreachable")
         .with("peer", peer.announcement.name.clone())
         .with("silent", tick.now - peer.link_since);
     let key = RowKey::Node(peer.announcement.name.clone());
-    tick.log(record);
+    tick.log(entry);
     let expected = vec![(key.clone(), version)];
     let operation = Operation::Write { expected, puts: Vec::new(), removals: vec![key] };
     world.ask_store(tick, operation);
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -11,7 +11,7 @@
 use crate::{
     clock::Millis,
     id::StoreVersion,
-    log::{Level, Record},
+    log::{Entry, Level},
     store::{Area, Operation, Refused, Reply, Ticket},
     table::latency::Step,
     world::{Tick, World},
@@ -114,14 +114,14 @@
                 Area::Configuration => world.tables.configuration.read = None,
                 Area::Fleet => world.systems.fleet.read = None,
             }
-            let record = Record::new(Level::Info, "store_history_gone");
-            tick.log(record.with("area", area_name(area)));
+            let entry = Entry::new(Level::Info, "store_history_gone");
+            tick.log(entry.with("area", area_name(area)));
             Millis::ZERO
         }
         Reply::Refused(refused) => {
             let busy = *refused == Refused::Busy;
-            let record = Record::new(Level::Warn, "store_refused");
-            tick.log(record.with("area", area_name(area)).with("busy", busy));
+            let entry = Entry::new(Level::Warn, "store_refused");
+            tick.log(entry.with("area", area_name(area)).with("busy", busy));
             REFUSED_PAUSE
         }
         Reply::Lost | Reply::Written { .. } | Reply::Conflict => LOST_PAUSE,
@@ -256,5 +256,5 @@
     let event = if fresh { "store_regained" } else { "store_lost" };
     let level = if fresh { Level::Info } else { Level::Warn };
     let revision = world.tables.configuration.revision.0;
-    tick.log(Record::new(level, event).with("configuration_age", age).with("revision", revision));
+    tick.log(Entry::new(level, event).with("configuration_age", age).with("revision", revision));
 }
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -8,7 +8,7 @@
     command::Command,
     config::Rank,
     id::{CallKey, NodeId, RouteKey, ServiceKey, TeamKey, TenantKey},
-    log::{self, Level, Record},
+    log::{self, Entry, Level},
     refusal::{Reason, Refusal},
     request::{CallToken, Forwarded, Nesting, Origin, Request, Verdict},
     system::{finish, permission, pressure, resend, retry},
@@ -66,7 +66,7 @@
     world.tables.counters.refuse(refusal.reason);
     let configuration = &world.tables.configuration;
     tick.log(
-        Record::new(Level::Warn, "refused")
+        Entry::new(Level::Warn, "refused")
             .on(&request.id)
             .with("reason", refusal.reason.to_string())
             .with("outcome", refusal.outcome.to_string())
@@ -207,7 +207,7 @@
     let stage = if charged { Stage::Rating } else { Stage::Routing };
     let call = Call {
         ticket: request.ticket,
-        is_logged: log::is_sampled(&request.id, world.options.log.one_in),
+        is_logged: log::is_sampled(&request.id, world.options.logging.one_in),
         id: request.id,
         from: arrival.from,
         parent: arrival.parent,
@@ -253,11 +253,11 @@
     }
 }
 
-fn opened(world: &World, call: &Call) -> Record {
+fn opened(world: &World, call: &Call) -> Entry {
     let tables = &world.tables;
     let route = call.route.and_then(|route| tables.routes.get(route));
     let team = call.team.and_then(|team| tables.teams.get(team));
-    let record = Record::new(Level::Info, "arrived")
+    let entry = Entry::new(Level::Info, "arrived")
         .on(&call.id)
         .with("route", route.map_or_else(CompactString::default, |row| row.config.name.clone()))
         .with("team", team.map_or_else(CompactString::default, |row| row.name.clone()))
@@ -267,7 +267,7 @@
         .with("revision", tables.configuration.revision.0)
         .with("configuration_age", tables.freshness.age);
     match call.from {
-        Some(from) => record.with("from", from),
-        None => record,
+        Some(from) => entry.with("from", from),
+        None => entry,
     }
 }
--- a/crates/mustardpin-world/src/system/pressure/admission.rs
+++ b/crates/mustardpin-world/src/system/pressure/admission.rs
@@ -12,7 +12,7 @@
 use crate::{
     clock::Millis,
     id::{CallKey, RouteKey, ServiceKey},
-    log::{Level, Record},
+    log::{Entry, Level},
     refusal::{Reason, Refusal},
     system::pressure,
     table::{
@@ -89,19 +89,19 @@
         tick.wake(tick.now + PERIOD);
     }
     if is_holding != was_holding {
-        tick.log(shedding_record(world, is_holding));
+        tick.log(shedding_entry(world, is_holding));
     }
 }
 
-fn shedding_record(world: &World, is_holding: bool) -> Record {
+fn shedding_entry(world: &World, is_holding: bool) -> Entry {
     let tightest = world
         .tables
         .services
         .iter()
         .min_by(|one, other| one.1.admitted.total_cmp(&other.1.admitted));
-    let record = Record::new(Level::Info, "shedding").with("on", is_holding);
-    let Some((_, service)) = tightest else { return record };
-    record
+    let entry = Entry::new(Level::Info, "shedding").with("on", is_holding);
+    let Some((_, service)) = tightest else { return entry };
+    entry
         .with("service", service.name.clone())
         .with("demand_percent", (service.demand * 100.0) as u64)
         .with("admitted_percent", (service.admitted * 100.0) as u64)
--- a/crates/mustardpin-world/src/system/pressure/strain.rs
+++ b/crates/mustardpin-world/src/system/pressure/strain.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     clock::Millis,
-    log::{Level, Record},
+    log::{Entry, Level},
     world::{Tick, World},
 };
 
@@ -64,8 +64,8 @@
         let is_change = (before < 1.0) != (state.admitted < 1.0);
         if is_change {
             let is_behind = state.admitted < 1.0;
-            let record = Record::new(Level::Warn, "behind").with("on", is_behind).with("lag", lag);
-            tick.log(record);
+            let entry = Entry::new(Level::Warn, "behind").with("on", is_behind).with("lag", lag);
+            tick.log(entry);
         }
     }
 }
--- a/crates/mustardpin-world/src/system/quarantine.rs
+++ b/crates/mustardpin-world/src/system/quarantine.rs
@@ -12,7 +12,7 @@
 use crate::{
     clock::Millis,
     id::{CallKey, PeerKey},
-    log::{Level, Record},
+    log::{Entry, Level},
     message::quarantine::Message,
     refusal::{Reason, Refusal},
     request::{Fingerprint, RunEnd, Verdict},
@@ -140,10 +140,10 @@
     let most = if is_trial { options.crashes } else { options.crashes.saturating_sub(1) };
     let crashes = world.tables.suspects.accuse(fingerprint, until, most, options.limit);
     if crashes == options.crashes {
-        let record = Record::new(Level::Warn, "request_quarantined")
+        let entry = Entry::new(Level::Warn, "request_quarantined")
             .with("fingerprint", format!("{:016x}", fingerprint.0))
             .with("crashes", crashes);
-        tick.log(record);
+        tick.log(entry);
     }
 }
 
--- a/crates/mustardpin-world/src/system/queueing.rs
+++ b/crates/mustardpin-world/src/system/queueing.rs
@@ -16,7 +16,7 @@
     command::Command,
     config::Rank,
     id::{CallKey, TeamKey},
-    log::{Level, Record},
+    log::{self, Level},
     options::{self, Queueing},
     refusal::{Reason, Refusal},
     request::{Nesting, Run, Verdict},
@@ -267,14 +267,14 @@
     }
     if call.is_logged {
         let target = &world.tables.target;
-        let record = Record::new(Level::Info, "run")
+        let log_entry = log::Entry::new(Level::Info, "run")
             .on(&call.id)
             .with("instance", target.report.instance.clone())
             .with("waited", tick.now - entry.queued)
             .with("running", target.running)
             .with("limit", target.limit)
             .with("left", call.deadline - tick.now);
-        tick.log(record);
+        tick.log(log_entry);
     }
     let team = call.team.filter(|_| call.from.is_none());
     let team = team.and_then(|team| world.tables.teams.get(team));
--- a/crates/mustardpin-world/src/system/registration.rs
+++ b/crates/mustardpin-world/src/system/registration.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     clock::Millis,
-    log::{Level, Record},
+    log::{Entry, Level},
     store::{Operation, Reply, RowKey, Ticket, Value},
     world::{Tick, World},
 };
@@ -56,7 +56,7 @@
     } else {
         Operation::Write { expected, puts: Vec::new(), removals: vec![key] }
     };
-    tick.log(Record::new(Level::Info, "registering").with("present", is_wanted));
+    tick.log(Entry::new(Level::Info, "registering").with("present", is_wanted));
     let ticket = world.ask_store(tick, operation);
     world.systems.registration.asked = Some(Asked { ticket, is_wanted });
 }
--- a/crates/mustardpin-world/src/system/retry.rs
+++ b/crates/mustardpin-world/src/system/retry.rs
@@ -14,7 +14,7 @@
 use crate::{
     hash,
     id::{CallKey, ServiceKey},
-    log::{Level, Record},
+    log::{Entry, Level},
     options::{self, RetryPolicy},
     refusal::{Outcome, Reason},
     request::{ForwardEnd, Request, RunEnd, SERVER_ERROR},
@@ -211,12 +211,12 @@
     call.peer = None;
     call.lineage.may_have_run |= matches!(cause.retry, Retry::Broken | Retry::Failed);
     if call.is_logged || cause.price == Price::One {
-        let record = Record::new(Level::Info, "tried_again")
+        let entry = Entry::new(Level::Info, "tried_again")
             .on(&call.id)
             .with("cause", cause.retry.to_string())
             .with("allowance", call.retry_allowance)
             .with("left", call.deadline - tick.now);
-        tick.log(record);
+        tick.log(entry);
     }
     finish::release(tables, stage, peer);
     tables.counters.retry(cause.retry);
--- a/crates/mustardpin-world/src/system/roster.rs
+++ b/crates/mustardpin-world/src/system/roster.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     clock::Millis,
-    log::{Level, Record},
+    log::{Entry, Level},
     store::{Member, Operation, Reply, Roster, RowKey, Ticket, Value},
     world::{Tick, World},
 };
@@ -71,10 +71,10 @@
 
 fn propose(world: &mut World, tick: &mut Tick, members: Vec<Member>) {
     let version = world.tables.roster.version;
-    let record = Record::new(Level::Info, "roster_proposed")
+    let entry = Entry::new(Level::Info, "roster_proposed")
         .with("members", members.len())
         .with("after", version.0);
-    tick.log(record);
+    tick.log(entry);
     let expected = vec![(RowKey::Roster, version)];
     let puts = vec![(RowKey::Roster, Value::Roster(Roster { members }))];
     let operation = Operation::Write { expected, puts, removals: Vec::new() };
--- a/crates/mustardpin-world/src/system/routing.rs
+++ b/crates/mustardpin-world/src/system/routing.rs
@@ -10,7 +10,7 @@
     clock::Millis,
     command::Command,
     id::{CallKey, PeerKey},
-    log::{Level, Record},
+    log::{Entry, Level},
     refusal::{Reason, Refusal},
     request::{Forward, Forwarded, Verdict},
     system::{finish, pressure, retry},
@@ -198,7 +198,7 @@
         hops: call.hops + 1,
     };
     if call.is_logged {
-        tick.commands.push(Command::Log(forwarded_record(call, peer, tick.now)));
+        tick.commands.push(Command::Log(forwarded_entry(call, peer, tick.now)));
     }
     tables.counters.work(Work::Forwarded);
     tick.commands.push(Command::Forward(Forward {
@@ -210,9 +210,9 @@
     }));
 }
 
-fn forwarded_record(call: &Call, peer: &Peer, now: Millis) -> Record {
+fn forwarded_entry(call: &Call, peer: &Peer, now: Millis) -> Entry {
     let load = peer.load.unwrap_or_default();
-    Record::new(Level::Info, "forwarded")
+    Entry::new(Level::Info, "forwarded")
         .on(&call.id)
         .with("peer", peer.announcement.name.clone())
         .with("attempt", call.lineage.arrivals + call.lineage.reroutes + 1)
--- a/crates/mustardpin-world/src/system/stop.rs
+++ b/crates/mustardpin-world/src/system/stop.rs
@@ -3,7 +3,7 @@
 use crate::{
     clock::Millis,
     command::Command,
-    log::{Level, Record},
+    log::{Entry, Level},
     refusal::{Reason, Refusal},
     request::Verdict,
     system::{finish, fleet},
@@ -27,19 +27,19 @@
     if world.systems.stop.started.is_none() {
         world.systems.stop.started = Some(tick.now);
         let announcement = &world.identity.announcement;
-        let record = Record::new(Level::Info, "started")
+        let entry = Entry::new(Level::Info, "started")
             .with("node", announcement.node)
             .with("name", announcement.name.clone())
             .with("data_centre", announcement.data_centre.clone())
             .with("service", announcement.service.clone())
             .with("address", announcement.address.clone());
-        tick.log(record);
+        tick.log(entry);
     }
     if tick.inbox.stop && !world.tables.leaving {
         world.tables.leaving = true;
         world.systems.stop.leaving_since = tick.now;
         let calls = world.tables.calls.len();
-        tick.log(Record::new(Level::Info, "leaving").with("calls", calls));
+        tick.log(Entry::new(Level::Info, "leaving").with("calls", calls));
         tick.commands.push(Command::CloseIdle);
     }
 }
@@ -58,13 +58,13 @@
         return;
     }
     world.systems.stop.ready = Some(ready);
-    let record = Record::new(Level::Info, "ready")
+    let entry = Entry::new(Level::Info, "ready")
         .with("ready", ready)
         .with("leaving", tables.leaving)
         .with("revision", tables.configuration.revision.0)
         .with("configuration_age", tables.freshness.age)
         .with("has_met_peers", has_met);
-    tick.log(record);
+    tick.log(entry);
     tick.commands.push(Command::Ready(ready));
 }
 
@@ -85,7 +85,7 @@
         refuse_waiting(world, tick);
     }
     if world.tables.calls.is_empty() || tick.now >= end {
-        tick.log(Record::new(Level::Info, "stopped").with("calls", world.tables.calls.len()));
+        tick.log(Entry::new(Level::Info, "stopped").with("calls", world.tables.calls.len()));
         return tick.commands.push(Command::Exit);
     }
     tick.wake(if tick.now < last_call { last_call } else { end });
--- a/crates/mustardpin-world/src/system/target.rs
+++ b/crates/mustardpin-world/src/system/target.rs
@@ -7,7 +7,7 @@
     clock::Millis,
     command::{Command, TargetAddress},
     event::TargetReport,
-    log::{Level, Record},
+    log::{Entry, Level},
     refusal::{Reason, Refusal},
     request::Verdict,
     system::{TargetChange, finish, queueing},
@@ -50,12 +50,12 @@
 fn take_report(world: &mut World, tick: &mut Tick, report: TargetReport) {
     let target = &mut world.tables.target;
     if is_late(target, &report) {
-        let record = Record::new(Level::Info, "target_report_ignored")
+        let entry = Entry::new(Level::Info, "target_report_ignored")
             .with("instance", report.instance)
             .with("sequence", report.sequence)
             .with("known_instance", target.report.instance.clone())
             .with("known_sequence", target.report.sequence);
-        return tick.log(record);
+        return tick.log(entry);
     }
     let is_new = is_another(target, &report);
     let is_change = is_new
@@ -99,14 +99,14 @@
 
 fn log_target(world: &World, tick: &mut Tick, event: &'static str) {
     let report = &world.tables.target.report;
-    let record = Record::new(Level::Info, event)
+    let entry = Entry::new(Level::Info, event)
         .with("instance", report.instance.clone())
         .with("address", report.address.clone())
         .with("sequence", report.sequence)
         .with("slots", report.slots.unwrap_or_default())
         .with("draining", report.draining)
         .with("cold", report.cold);
-    tick.log(record);
+    tick.log(entry);
 }
 
 fn lose(world: &mut World, tick: &mut Tick) {
@@ -117,8 +117,8 @@
     tick.commands.push(Command::Target(None));
     let silent = tick.now - world.tables.target.reported;
     let instance = world.tables.target.report.instance.clone();
-    let record = Record::new(Level::Warn, "target_lost");
-    tick.log(record.with("instance", instance).with("silent", silent));
+    let entry = Entry::new(Level::Warn, "target_lost");
+    tick.log(entry.with("instance", instance).with("silent", silent));
 }
 
 /// Finds other places for what waits for a target that takes no more requests.
--- a/crates/mustardpin-world/src/world.rs
+++ b/crates/mustardpin-world/src/world.rs
@@ -9,7 +9,7 @@
     command::Command,
     event::Event,
     id::{NodeId, PeerKey},
-    log::Record,
+    log::Entry,
     message::Message,
     options::Options,
     store::{Announcement, Operation, Ticket},
@@ -72,8 +72,8 @@
     }
 
     /// Writes a log line.
-    pub(crate) fn log(&mut self, record: Record) {
-        self.commands.push(Command::Log(record));
+    pub(crate) fn log(&mut self, entry: Entry) {
+        self.commands.push(Command::Log(entry));
     }
 }
 
