--- a/crates/mustardpin-node/src/control/thread.rs
+++ b/crates/mustardpin-node/src/control/thread.rs
@@ -124,18 +124,18 @@
             }
             Command::Cancel(ticket) => Order::Cancel(ticket),
             Command::Send { to, message } => Order::Send { to, message },
-            Command::Link(announcement) => Order::Link(announcement),
-            Command::Unlink(node) => Order::Unlink(node),
+            Command::OpenLink(announcement) => Order::Link(announcement),
+            Command::CloseLink(node) => Order::Unlink(node),
             Command::Target(place) => Order::Target(place),
             Command::Publish { load, urgent } => Order::Publish { load, urgent },
-            Command::Callers(callers) => Order::Callers(callers),
+            Command::CallerLimits(callers) => Order::Callers(callers),
             Command::Ready(ready) => Order::Ready(ready),
             Command::CloseIdle => Order::CloseIdle,
             Command::Exit => Order::Exit,
             Command::Store(ticket, operation) => {
                 return self.borders.store.ask(ticket, operation);
             }
-            Command::Answer(ticket, answer) => return self.answer(ticket, answer),
+            Command::ReplyToProposal(ticket, answer) => return self.answer(ticket, answer),
             Command::Log(entry) => return self.borders.log.write(entry),
             Command::Wake(at) => {
                 self.wake = at;
--- a/crates/mustardpin-node/src/launch.rs
+++ b/crates/mustardpin-node/src/launch.rs
@@ -10,7 +10,7 @@
 use compact_str::CompactString;
 use mustardpin_settings::{Settings, settings};
 use mustardpin_wire::dialect::Dialect;
-use mustardpin_world::{Millis, Options, config::Callers, id::KeyDigest};
+use mustardpin_world::{Millis, Options, config::CallerLimits, id::KeyDigest};
 
 use crate::{control::Handle, log, store::Store};
 
@@ -190,9 +190,9 @@
 
 impl Limits {
     /// What callers may send, where the configuration does not say.
-    pub(crate) fn callers(&self) -> Callers {
+    pub(crate) fn callers(&self) -> CallerLimits {
         let millis = |length: Duration| Millis(length.as_millis() as u64);
-        Callers {
+        CallerLimits {
             header_size: u32::try_from(self.header_size).unwrap_or(u32::MAX),
             body_size: self.body_size as u64,
             header_timeout: millis(self.header_timeout),
--- a/crates/mustardpin-node/src/metrics.rs
+++ b/crates/mustardpin-node/src/metrics.rs
@@ -113,7 +113,7 @@
         let (counters, latencies) = (&tables.counters, &tables.latencies);
         let refusal = |reason: &Reason| (reason.to_string(), counters.refusals(*reason));
         let retry = |retry: &Retry| (retry.to_string(), counters.retries(*retry));
-        let work = |work: &Work| (work.to_string(), counters.worked(*work));
+        let work = |work: &Work| (work.to_string(), counters.work_done(*work));
         let step = |step: &Step| (step.to_string(), *latencies.of_step(*step));
         let ends =
             Source::ALL.iter().flat_map(|source| End::ALL.iter().map(move |end| (source, end)));
--- a/crates/mustardpin-node/src/traffic.rs
+++ b/crates/mustardpin-node/src/traffic.rs
@@ -24,7 +24,7 @@
 
 use mustardpin_world::{
     command::TargetAddress,
-    config::Callers,
+    config::CallerLimits,
     id::NodeId,
     message::Message,
     request::{Forward, Load, Run, Ticket, Verdict},
@@ -80,7 +80,7 @@
         urgent: bool,
     },
     /// Callers may send this.
-    Callers(Callers),
+    Callers(CallerLimits),
     /// Say whether the node is ready for callers.
     Ready(bool),
     /// Tell callers on idle connections to go elsewhere.
--- a/crates/mustardpin-node/src/traffic/board.rs
+++ b/crates/mustardpin-node/src/traffic/board.rs
@@ -12,7 +12,7 @@
 use mustardpin_wire::{dialect::Dialect, frame::LoadReport};
 use mustardpin_world::{
     Event, Millis,
-    config::Callers,
+    config::CallerLimits,
     refusal::Refusal,
     request::{ForwardEnd, Load, Request, RunEnd, Ticket, is_final_status},
 };
@@ -63,7 +63,7 @@
     pub(super) target: Target,
     pub(super) links: Links,
     exchanges: Mutex<SlotMap<ExchangeKey, Exchange>>,
-    callers: Mutex<Callers>,
+    callers: Mutex<CallerLimits>,
     load: Mutex<Load>,
     ready: AtomicBool,
     kept_bytes: AtomicUsize,
@@ -129,11 +129,11 @@
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    pub(super) fn callers(&self) -> Callers {
+    pub(super) fn callers(&self) -> CallerLimits {
         *self.callers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn set_callers(&self, callers: Callers) {
+    pub(super) fn set_callers(&self, callers: CallerLimits) {
         *self.callers.lock().unwrap_or_else(PoisonError::into_inner) = callers;
     }
 
--- a/crates/mustardpin-virtual/src/fleet/message.rs
+++ b/crates/mustardpin-virtual/src/fleet/message.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn ask_store(&mut self, site: Site, ticket: store::Ticket, operation: Operation) {
+    pub(super) fn call_store(&mut self, site: Site, ticket: store::Ticket, operation: Operation) {
         let Some(delay) = self.network.to_platform(&self.nodes[site.0].data_centre) else {
             return self.deliver_later(site, STORE_TIMEOUT, Event::Store(ticket, Reply::Lost));
         };
--- a/crates/mustardpin-virtual/src/fleet/run.rs
+++ b/crates/mustardpin-virtual/src/fleet/run.rs
@@ -171,12 +171,12 @@
         let report = TargetReport {
             address: node.world.identity().announcement.address.clone(),
             instance: node.world.identity().name().clone(),
-            born: target.started,
+            started: target.started,
             sequence: target.reports,
             slots: Some(target.service.slots as u32),
             healthy: true,
             draining: target.draining,
-            cold: Millis::ZERO,
+            warm_up: Millis::ZERO,
             running: Some(target.busy.len() as u32),
         };
         let report = self.nodes[site.0].target.say(self.now, report, &mut self.rng);
--- a/crates/mustardpin-virtual/src/fleet/step.rs
+++ b/crates/mustardpin-virtual/src/fleet/step.rs
@@ -90,10 +90,10 @@
             }
             Command::Cancel(ticket) => self.cancel(site, ticket),
             Command::Send { to, message } => self.message(site, to, message),
-            Command::Link(announcement) => self.keep_link(site, announcement),
-            Command::Unlink(peer) => self.drop_link(site, peer),
-            Command::Store(ticket, operation) => self.ask_store(site, ticket, operation),
-            Command::Answer(ticket, answer) => {
+            Command::OpenLink(announcement) => self.keep_link(site, announcement),
+            Command::CloseLink(peer) => self.drop_link(site, peer),
+            Command::Store(ticket, operation) => self.call_store(site, ticket, operation),
+            Command::ReplyToProposal(ticket, answer) => {
                 self.answers.insert(ticket.0, answer);
             }
             Command::Publish { load, urgent } => self.publish(site, load, urgent),
@@ -103,7 +103,7 @@
                     self.log.push((self.now, site, entry));
                 }
             }
-            Command::Target(_) | Command::Callers(_) | Command::CloseIdle => {}
+            Command::Target(_) | Command::CallerLimits(_) | Command::CloseIdle => {}
             Command::Exit => {
                 let node = &mut self.nodes[site.0];
                 node.exited = true;
--- a/crates/mustardpin-virtual/src/platform.rs
+++ b/crates/mustardpin-virtual/src/platform.rs
@@ -145,7 +145,7 @@
     /// The answer to a question, if there are changes.
     pub(crate) fn changes(&self, waiting: Waiting) -> Option<Reply> {
         if waiting.after < self.forgotten {
-            return Some(Reply::Forgotten);
+            return Some(Reply::HistoryGone);
         }
         let rows: Vec<Row> = self.of(waiting.area, waiting.after).cloned().collect();
         (!rows.is_empty()).then(|| self.reply(waiting.area, false, rows))
--- a/crates/mustardpin-wire/src/admin/status.rs
+++ b/crates/mustardpin-wire/src/admin/status.rs
@@ -208,7 +208,7 @@
 }
 
 fn work(counters: &Counters) -> Vec<Count> {
-    let counts = Work::ALL.iter().map(|&work| (work, counters.worked(work)));
+    let counts = Work::ALL.iter().map(|&work| (work, counters.work_done(work)));
     counts.filter(|(_, count)| *count > 0).map(|(work, count)| named(&work, count)).collect()
 }
 
--- a/crates/mustardpin-wire/src/config.rs
+++ b/crates/mustardpin-wire/src/config.rs
@@ -165,7 +165,7 @@
 /// What callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-#[allow(missing_docs, reason = "mirrors mustardpin_world::config::Callers")]
+#[allow(missing_docs, reason = "mirrors mustardpin_world::config::CallerLimits")]
 pub struct Callers {
     pub header_size: u32,
     pub body_size: u64,
@@ -230,8 +230,8 @@
     }
 }
 
-impl From<config::Callers> for Callers {
-    fn from(callers: config::Callers) -> Callers {
+impl From<config::CallerLimits> for Callers {
+    fn from(callers: config::CallerLimits) -> Callers {
         Callers {
             header_size: callers.header_size,
             body_size: callers.body_size,
@@ -241,9 +241,9 @@
     }
 }
 
-impl From<Callers> for config::Callers {
-    fn from(callers: Callers) -> config::Callers {
-        config::Callers {
+impl From<Callers> for config::CallerLimits {
+    fn from(callers: Callers) -> config::CallerLimits {
+        config::CallerLimits {
             header_size: callers.header_size,
             body_size: callers.body_size,
             header_timeout: Millis(callers.header_timeout_ms),
@@ -348,7 +348,7 @@
             Row::Fleet { cut_off, retry_allowance, callers } => config::Row::Fleet(config::Fleet {
                 cut_off: cut_off.into(),
                 retry_allowance,
-                callers: callers.map(config::Callers::from),
+                callers: callers.map(config::CallerLimits::from),
             }),
             Row::Team { name, rate, burst, weight, importance } => {
                 config::Row::Team(config::Team {
--- a/crates/mustardpin-world/src/command.rs
+++ b/crates/mustardpin-world/src/command.rs
@@ -47,13 +47,13 @@
         message: Message,
     },
     /// Keep a connection to this peer from now on.
-    Link(Announcement),
+    OpenLink(Announcement),
     /// Keep no connection to this peer any more.
-    Unlink(NodeId),
+    CloseLink(NodeId),
     /// Ask the store. A reply follows as an event.
     Store(store::Ticket, store::Operation),
     /// Answer an operator's proposal with the revision it was given, or why it was not accepted.
-    Answer(ProposalTicket, Result<Revision, ChangeError>),
+    ReplyToProposal(ProposalTicket, Result<Revision, ChangeError>),
     /// From now on the own target is here, or nowhere.
     Target(Option<TargetAddress>),
     /// From now on, say this of the own target on every answer to a peer.
@@ -64,7 +64,7 @@
         urgent: bool,
     },
     /// From now on, callers may send this.
-    Callers(config::Callers),
+    CallerLimits(config::CallerLimits),
     /// From now on, say whether the node is ready for callers.
     Ready(bool),
     /// Write a log line.
--- a/crates/mustardpin-world/src/config.rs
+++ b/crates/mustardpin-world/src/config.rs
@@ -206,7 +206,7 @@
 
 /// What callers may send, and how long they may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Callers {
+pub struct CallerLimits {
     /// The size of a request's head, in bytes.
     pub header_size: u32,
     /// The size of a request's body, in bytes.
@@ -225,7 +225,7 @@
     /// Retries that one root request may cause, anywhere in its chain.
     pub retry_allowance: u32,
     /// What callers may send, where it is not left to each node's settings.
-    pub callers: Option<Callers>,
+    pub callers: Option<CallerLimits>,
 }
 
 impl Default for Fleet {
--- a/crates/mustardpin-world/src/event.rs
+++ b/crates/mustardpin-world/src/event.rs
@@ -20,7 +20,7 @@
     /// Its id, if it has one.
     pub instance: CompactString,
     /// When its process started, by its own clock; zero if it does not say.
-    pub born: Millis,
+    pub started: Millis,
     /// Grows with each report of one process; zero if it does not count.
     pub sequence: u64,
     /// How many requests it can run at once, by its own account.
@@ -30,7 +30,7 @@
     /// Whether it is draining and wants no new requests.
     pub draining: bool,
     /// For how much longer it is slower than usual after its start.
-    pub cold: Millis,
+    pub warm_up: Millis,
     /// Requests it says it is running.
     pub running: Option<u32>,
 }
--- a/crates/mustardpin-world/src/store.rs
+++ b/crates/mustardpin-world/src/store.rs
@@ -142,7 +142,7 @@
         changes: Changes,
     },
     /// The history that the question needs is gone: read all again.
-    Forgotten,
+    HistoryGone,
     /// The write took effect.
     Written {
         /// At this version.
--- a/crates/mustardpin-world/src/system/configuration.rs
+++ b/crates/mustardpin-world/src/system/configuration.rs
@@ -47,7 +47,7 @@
         return;
     }
     if let Some(callers) = configuration.fleet.callers {
-        tick.commands.push(Command::Callers(callers));
+        tick.commands.push(Command::CallerLimits(callers));
     }
     let entry = Entry::new(Level::Info, "configuration")
         .with("revision", configuration.revision.0)
--- a/crates/mustardpin-world/src/system/deadline.rs
+++ b/crates/mustardpin-world/src/system/deadline.rs
@@ -20,7 +20,7 @@
             Stage::Running | Stage::Forwarded => {
                 if !call.cancelling {
                     call.cancelling = true;
-                    world.tables.counters.work(Work::Cancelled);
+                    world.tables.counters.count_work(Work::Cancelled);
                     tick.commands.push(Command::Cancel(call.ticket));
                 }
             }
--- a/crates/mustardpin-world/src/system/finish.rs
+++ b/crates/mustardpin-world/src/system/finish.rs
@@ -21,9 +21,9 @@
     let Some(call) = close(world, key) else { return };
     let verdict = honest(&call, verdict);
     match &verdict {
-        Verdict::Pass => world.tables.counters.work(Work::Answered),
+        Verdict::Pass => world.tables.counters.count_work(Work::Answered),
         Verdict::Refuse(refusal) => {
-            world.tables.counters.refuse(refusal.reason);
+            world.tables.counters.count_refusal(refusal.reason);
             tick.log(refused_entry(world, tick, &call, *refusal));
         }
     }
@@ -35,7 +35,7 @@
 /// Ends a call whose whole answer has gone to the caller already.
 pub(super) fn passed(world: &mut World, tick: &mut Tick, key: CallKey) {
     let Some(call) = close(world, key) else { return };
-    world.tables.counters.work(Work::Answered);
+    world.tables.counters.count_work(Work::Answered);
     settle(world, tick, key, &call, Verdict::Pass);
 }
 
@@ -142,7 +142,7 @@
         Stage::Running if !call.repeatable => {}
         Stage::Running | Stage::Forwarded => {
             call.cancelling = true;
-            world.tables.counters.work(Work::Cancelled);
+            world.tables.counters.count_work(Work::Cancelled);
             tick.commands.push(Command::Cancel(call.ticket));
         }
         _ => {
--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -205,7 +205,7 @@
         forget(world, tick, known, "replaced");
     }
     let tables = &mut world.tables;
-    let service = tables.services.named(&announcement.service);
+    let service = tables.services.get_or_insert(&announcement.service);
     let is_local = announcement.data_centre == *world.identity.data_centre();
     let mut peer = Peer::new(announcement.clone(), service, is_local, tick.now);
     peer.row = row;
@@ -219,7 +219,7 @@
         .with("service", announcement.service.clone())
         .with("address", announcement.address.clone());
     tick.log(entry);
-    tick.commands.push(Command::Link(announcement));
+    tick.commands.push(Command::OpenLink(announcement));
     key
 }
 
@@ -233,7 +233,7 @@
         .with("node", peer.announcement.node)
         .with("why", why);
     tick.log(entry);
-    tick.commands.push(Command::Unlink(peer.announcement.node));
+    tick.commands.push(Command::CloseLink(peer.announcement.node));
 }
 
 fn link_up(world: &mut World, tick: &mut Tick, announcement: Announcement, revision: Revision) {
@@ -309,5 +309,5 @@
     tick.log(entry);
     let expected = vec![(key.clone(), version)];
     let operation = Operation::Write { expected, puts: Vec::new(), removals: vec![key] };
-    world.ask_store(tick, operation);
+    world.call_store(tick, operation);
 }
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -109,7 +109,7 @@
             watch.failures = 0;
             return;
         }
-        Reply::Forgotten => {
+        Reply::HistoryGone => {
             match area {
                 Area::Configuration => world.tables.configuration.read = None,
                 Area::Fleet => world.systems.fleet.read = None,
@@ -204,7 +204,7 @@
 }
 
 fn question(world: &mut World, tick: &mut Tick, operation: Operation, wait: Millis) -> Asked {
-    let ticket = world.ask_store(tick, operation);
+    let ticket = world.call_store(tick, operation);
     Asked { ticket, sent: tick.now, overdue: tick.now + wait + OVERDUE }
 }
 
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -46,10 +46,10 @@
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for reason in std::mem::take(&mut tick.inbox.refused) {
-        world.tables.counters.refuse(reason);
+        world.tables.counters.count_refusal(reason);
     }
     for request in std::mem::take(&mut tick.inbox.arrived) {
-        world.tables.counters.work(Work::Accepted);
+        world.tables.counters.count_work(Work::Accepted);
         let arrival = match &request.origin {
             Origin::Peer(forwarded) => from_peer(world, tick.now, &request, forwarded),
             Origin::Caller { .. } | Origin::Target { .. } => from_caller(world, tick.now, &request),
@@ -63,7 +63,7 @@
 
 /// Refuses a request for which no call was opened.
 fn refuse(world: &mut World, tick: &mut Tick, request: &Request, refusal: Refusal) {
-    world.tables.counters.refuse(refusal.reason);
+    world.tables.counters.count_refusal(refusal.reason);
     let configuration = &world.tables.configuration;
     tick.log(
         Entry::new(Level::Warn, "refused")
@@ -184,7 +184,7 @@
     let timeout = request.timeout.unwrap_or(world.options.routing.default_timeout);
     Ok(Arrival {
         route: tables.routes.by_name(&forwarded.route),
-        service: tables.services.named(&forwarded.service),
+        service: tables.services.get_or_insert(&forwarded.service),
         from: Some(forwarded.from),
         parent: None,
         nesting: forwarded.nesting,
@@ -204,7 +204,7 @@
 fn open(world: &mut World, tick: &mut Tick, request: Request, arrival: Arrival) {
     let is_root = arrival.from.is_none() && !arrival.nesting.is_nested();
     let charged = is_root && arrival.team.is_some();
-    let stage = if charged { Stage::Rating } else { Stage::Routing };
+    let stage = if charged { Stage::RateLimit } else { Stage::Routing };
     let call = Call {
         ticket: request.ticket,
         is_logged: log::is_sampled(&request.id, world.options.logging.one_in),
--- a/crates/mustardpin-world/src/system/limit.rs
+++ b/crates/mustardpin-world/src/system/limit.rs
@@ -113,12 +113,12 @@
         state.target = None;
         return;
     }
-    let (born, slots) = (target.report.born, target.report.slots);
+    let (started, slots) = (target.report.started, target.report.slots);
     match (state.target, slots) {
-        (Some((known, _)), _) if known != born => state.algorithm.restart(slots),
+        (Some((known, _)), _) if known != started => state.algorithm.restart(slots),
         (None, _) => state.algorithm.restart(slots),
         (Some((_, known)), Some(slots)) if known != Some(slots) => state.algorithm.resize(slots),
         _ => {}
     }
-    state.target = Some((born, slots));
+    state.target = Some((started, slots));
 }
--- a/crates/mustardpin-world/src/system/proposal.rs
+++ b/crates/mustardpin-world/src/system/proposal.rs
@@ -54,7 +54,7 @@
     for _ in 0..world.systems.proposal.open.len() {
         let Some(mut open) = world.systems.proposal.open.pop_front() else { break };
         match advance(world, tick, &mut open) {
-            Some(answer) => tick.commands.push(Command::Answer(open.ticket, answer)),
+            Some(answer) => tick.commands.push(Command::ReplyToProposal(open.ticket, answer)),
             None => world.systems.proposal.open.push_back(open),
         }
     }
@@ -92,7 +92,7 @@
 }
 
 fn read(world: &mut World, tick: &mut Tick) -> Ticket {
-    world.ask_store(tick, Operation::Read(Area::Configuration))
+    world.call_store(tick, Operation::Read(Area::Configuration))
 }
 
 fn reply_to(tick: &Tick, ticket: Ticket) -> Option<&Reply> {
@@ -124,7 +124,7 @@
         return Some(Err(error));
     }
     let operation = transaction(world, proposal);
-    open.wait = Wait::Write(world.ask_store(tick, operation));
+    open.wait = Wait::Write(world.call_store(tick, operation));
     None
 }
 
--- a/crates/mustardpin-world/src/system/quarantine.rs
+++ b/crates/mustardpin-world/src/system/quarantine.rs
@@ -203,7 +203,7 @@
             return finish::run(world, tick, key, Verdict::Refuse(refusal));
         }
         if world.tables.target.trial.is_some_and(|trial| trial != key) {
-            world.tables.calls.keep(key);
+            world.tables.calls.requeue(key);
             return tick.wake(tick.now + LOOK_PERIOD);
         }
         world.tables.target.trial = Some(key);
--- a/crates/mustardpin-world/src/system/queueing.rs
+++ b/crates/mustardpin-world/src/system/queueing.rs
@@ -290,7 +290,7 @@
     world.tables.latencies.step(Step::Queue, tick.now - entry.queued);
     let tables = &mut world.tables;
     tables.target.running += 1;
-    tables.counters.work(Work::Run);
+    tables.counters.count_work(Work::Run);
     tables.calls.advance(key, Stage::Running, tick.now);
 }
 
--- a/crates/mustardpin-world/src/system/rating/drawing.rs
+++ b/crates/mustardpin-world/src/system/rating/drawing.rs
@@ -88,7 +88,7 @@
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     world.systems.rating.drawing.started.get_or_insert(tick.now);
-    for call in world.tables.calls.take(Stage::Rating) {
+    for call in world.tables.calls.take(Stage::RateLimit) {
         admit(world, tick.now, call);
     }
     smooth_demand(world, tick.now);
@@ -140,7 +140,7 @@
     let Some(stock) = world.tables.shares.stocks.remove(team) else { return };
     for call in stock.waiting {
         let is_waiting =
-            world.tables.calls.get(call).is_some_and(|call| call.stage == Stage::Rating);
+            world.tables.calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit);
         if is_waiting {
             world.tables.calls.advance(call, Stage::Routing, now);
         }
@@ -165,7 +165,7 @@
     let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return };
     let calls = &mut world.tables.calls;
     while let Some(&call) = stock.waiting.front() {
-        let is_waiting = calls.get(call).is_some_and(|call| call.stage == Stage::Rating);
+        let is_waiting = calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit);
         if is_waiting && !stock.spend(now) {
             return;
         }
@@ -352,7 +352,9 @@
     let refusal = refusal(world, tick.now, team);
     let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return };
     let calls = &world.tables.calls;
-    stock.waiting.retain(|&call| calls.get(call).is_some_and(|call| call.stage == Stage::Rating));
+    stock
+        .waiting
+        .retain(|&call| calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit));
     let dry = stock.sources.iter().all(|source| source.quiet_until > tick.now);
     let mut refused = Vec::new();
     while let Some(&call) = stock.waiting.front() {
--- a/crates/mustardpin-world/src/system/registration.rs
+++ b/crates/mustardpin-world/src/system/registration.rs
@@ -57,7 +57,7 @@
         Operation::Write { expected, puts: Vec::new(), removals: vec![key] }
     };
     tick.log(Entry::new(Level::Info, "registering").with("present", is_wanted));
-    let ticket = world.ask_store(tick, operation);
+    let ticket = world.call_store(tick, operation);
     world.systems.registration.asked = Some(Asked { ticket, is_wanted });
 }
 
--- a/crates/mustardpin-world/src/system/resend.rs
+++ b/crates/mustardpin-world/src/system/resend.rs
@@ -59,7 +59,7 @@
     if let Some(tokens) = failed.tokens(identity.team, burst) {
         *tokens -= 1.0;
     }
-    world.tables.counters.retry(Retry::Resent);
+    world.tables.counters.count_retry(Retry::Resent);
     Ok(0)
 }
 
--- a/crates/mustardpin-world/src/system/retry.rs
+++ b/crates/mustardpin-world/src/system/retry.rs
@@ -81,7 +81,7 @@
     for (ticket, end) in std::mem::take(&mut tick.inbox.runs_ended) {
         let Some(key) = world.tables.calls.by_ticket(ticket) else { continue };
         let Some(call) = world.tables.calls.get_mut(key) else { continue };
-        call.lineage.arrivals += u32::from(!matches!(end, RunEnd::NotSent));
+        call.lineage.sent_attempts += u32::from(!matches!(end, RunEnd::NotSent));
         if let RunEnd::Answered { status, .. } = end {
             call.lineage.failed = status >= SERVER_ERROR;
         }
@@ -101,7 +101,7 @@
         if let ForwardEnd::Answered { status } = end {
             call.lineage.failed = status >= SERVER_ERROR;
         }
-        call.lineage.arrivals += u32::from(may_have_arrived(end));
+        call.lineage.sent_attempts += u32::from(may_have_arrived(end));
         let cause = forward_cause(world, key, end);
         if !cause.is_some_and(|cause| again(world, tick, key, cause)) {
             tick.inbox.forwards_ended.push((ticket, end, retries));
@@ -201,7 +201,7 @@
     let (stage, peer) = (call.stage, call.peer);
     match (stage, peer) {
         (Stage::Forwarded, Some(peer)) => call.tried.push(peer),
-        _ => call.lineage.own_tried = true,
+        _ => call.lineage.local_tried = true,
     }
     if !routing::has_place(world, tick.now, key) || !pay(world, key, cause.price) {
         return false;
@@ -219,7 +219,7 @@
         tick.log(entry);
     }
     finish::release(tables, stage, peer);
-    tables.counters.retry(cause.retry);
+    tables.counters.count_retry(cause.retry);
     tables.calls.advance(key, Stage::Routing, tick.now);
     true
 }
@@ -295,7 +295,7 @@
         if !world.systems.retry.policy.nested(budget) {
             return Err(Reason::RetryAllowance);
         }
-        tables.counters.retry(Retry::Nested);
+        tables.counters.count_retry(Retry::Nested);
     } else {
         call.lineage.nested.push(identity);
     }
--- a/crates/mustardpin-world/src/system/roster.rs
+++ b/crates/mustardpin-world/src/system/roster.rs
@@ -78,7 +78,7 @@
     let expected = vec![(RowKey::Roster, version)];
     let puts = vec![(RowKey::Roster, Value::Roster(Roster { members }))];
     let operation = Operation::Write { expected, puts, removals: Vec::new() };
-    world.systems.roster.asked = Some(world.ask_store(tick, operation));
+    world.systems.roster.asked = Some(world.call_store(tick, operation));
     world.systems.roster.due = None;
 }
 
--- a/crates/mustardpin-world/src/system/routing.rs
+++ b/crates/mustardpin-world/src/system/routing.rs
@@ -60,7 +60,7 @@
 
 fn route(world: &mut World, tick: &mut Tick, key: CallKey) {
     let Some(call) = world.tables.calls.get(key) else { return };
-    let is_first = !call.lineage.own_tried && call.tried.is_empty();
+    let is_first = !call.lineage.local_tried && call.tried.is_empty();
     if is_first {
         retry::earn(world, key);
         if let Err(refusal) = pressure::admit(world, key) {
@@ -119,7 +119,7 @@
     let tables = &world.tables;
     let target = &tables.target;
     let service = tables.services.get(call.service)?;
-    if service.name != *world.identity.service() || call.lineage.own_tried {
+    if service.name != *world.identity.service() || call.lineage.local_tried {
         return None;
     }
     if !target.is_open() || tables.leaving {
@@ -153,7 +153,7 @@
         true => 0.0,
         false => world.options.routing.local_preference as f32 / 100.0,
     };
-    Some(peer.pace + crowding(present, limit) + distance)
+    Some(peer.latency_ratio + crowding(present, limit) + distance)
 }
 
 /// What it costs that so many requests are at a target with this limit, in runs.
@@ -200,7 +200,7 @@
     if call.is_logged {
         tick.commands.push(Command::Log(forwarded_entry(call, peer, tick.now)));
     }
-    tables.counters.work(Work::Forwarded);
+    tables.counters.count_work(Work::Forwarded);
     tick.commands.push(Command::Forward(Forward {
         ticket: call.ticket,
         to: peer.announcement.node,
@@ -215,7 +215,7 @@
     Entry::new(Level::Info, "forwarded")
         .on(&call.id)
         .with("peer", peer.announcement.name.clone())
-        .with("attempt", call.lineage.arrivals + call.lineage.reroutes + 1)
+        .with("attempt", call.lineage.sent_attempts + call.lineage.reroutes + 1)
         .with("peer_running", load.running)
         .with("peer_queued", load.queued)
         .with("peer_limit", load.limit)
--- a/crates/mustardpin-world/src/system/target.rs
+++ b/crates/mustardpin-world/src/system/target.rs
@@ -67,7 +67,7 @@
     let moved = is_new || !target.present || target.report.address != report.address;
     target.present = true;
     target.reported = tick.now;
-    target.cold_until = tick.now + report.cold;
+    target.cold_until = tick.now + report.warm_up;
     target.report = report;
     if is_new {
         target.health.succeed();
@@ -86,15 +86,15 @@
     if !target.present && known.sequence == 0 {
         return false;
     }
-    if report.born != known.born {
-        return report.born < known.born;
+    if report.started != known.started {
+        return report.started < known.started;
     }
     report.instance == known.instance && report.sequence != 0 && report.sequence <= known.sequence
 }
 
 /// Whether a report comes from another process than the last one.
 fn is_another(target: &Target, report: &TargetReport) -> bool {
-    report.born != target.report.born || report.instance != target.report.instance
+    report.started != target.report.started || report.instance != target.report.instance
 }
 
 fn log_target(world: &World, tick: &mut Tick, event: &'static str) {
@@ -105,7 +105,7 @@
         .with("sequence", report.sequence)
         .with("slots", report.slots.unwrap_or_default())
         .with("draining", report.draining)
-        .with("cold", report.cold);
+        .with("cold", report.warm_up);
     tick.log(entry);
 }
 
@@ -125,7 +125,7 @@
 fn hand_back_queue(world: &mut World, tick: &mut Tick) {
     for key in queueing::take_all(world) {
         let Some(call) = world.tables.calls.get_mut(key) else { continue };
-        call.lineage.own_tried = true;
+        call.lineage.local_tried = true;
         if call.from.is_none() {
             world.tables.calls.advance(key, Stage::Routing, tick.now);
             continue;
--- a/crates/mustardpin-world/src/table/call.rs
+++ b/crates/mustardpin-world/src/table/call.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
     /// Waits for a token of its team's rate.
-    Rating,
+    RateLimit,
     /// Waits for a place to run.
     Routing,
     /// Waits for the check against requests that crash targets.
@@ -44,7 +44,7 @@
     /// ```
     pub const fn name(self) -> &'static str {
         match self {
-            Stage::Rating => "rating",
+            Stage::RateLimit => "rating",
             Stage::Routing => "routing",
             Stage::Screening => "screening",
             Stage::Queued => "queued",
@@ -66,11 +66,11 @@
     /// Whether a target may have seen the call in an attempt that failed.
     pub may_have_run: bool,
     /// How many attempts have been made that may have reached a target.
-    pub arrivals: u32,
+    pub sent_attempts: u32,
     /// How often it was turned away before it reached any target.
     pub reroutes: u32,
     /// Whether the own target was tried and failed.
-    pub own_tried: bool,
+    pub local_tried: bool,
     /// Whether the target answered with a server error.
     pub failed: bool,
 }
@@ -201,7 +201,7 @@
     }
 
     /// Puts a call back on the work list of the stage it is in.
-    pub fn keep(&mut self, key: CallKey) {
+    pub fn requeue(&mut self, key: CallKey) {
         if let Some(call) = self.rows.get(key) {
             self.work[call.stage as usize].push(key);
         }
--- a/crates/mustardpin-world/src/table/counter.rs
+++ b/crates/mustardpin-world/src/table/counter.rs
@@ -98,17 +98,17 @@
 
 impl Counters {
     /// Counts a refusal.
-    pub fn refuse(&mut self, reason: Reason) {
+    pub fn count_refusal(&mut self, reason: Reason) {
         self.refusals[reason as usize] += 1;
     }
 
     /// Counts a retry.
-    pub fn retry(&mut self, retry: Retry) {
+    pub fn count_retry(&mut self, retry: Retry) {
         self.retries[retry as usize] += 1;
     }
 
     /// Counts work.
-    pub fn work(&mut self, work: Work) {
+    pub fn count_work(&mut self, work: Work) {
         self.work[work as usize] += 1;
     }
 
@@ -117,7 +117,7 @@
     /// ```
     /// use mustardpin_world::{refusal::Reason, table::counter::Counters};
     /// let mut counters = Counters::default();
-    /// counters.refuse(Reason::NoTarget);
+    /// counters.count_refusal(Reason::NoTarget);
     /// assert_eq!(counters.refusals(Reason::NoTarget), 1);
     /// ```
     pub fn refusals(&self, reason: Reason) -> u64 {
@@ -130,7 +130,7 @@
     }
 
     /// Work of a kind.
-    pub fn worked(&self, work: Work) -> u64 {
+    pub fn work_done(&self, work: Work) -> u64 {
         self.work[work as usize]
     }
 }
--- a/crates/mustardpin-world/src/table/exception.rs
+++ b/crates/mustardpin-world/src/table/exception.rs
@@ -38,7 +38,7 @@
     }
 
     /// The longest time after the last news for which an exception lets any team go on.
-    pub fn longest_grace(&self) -> Option<Millis> {
+    pub fn max_grace(&self) -> Option<Millis> {
         self.iter()
             .filter_map(|(_, exception)| match &exception.change {
                 Change::ServeCutOff { grace, .. } => Some(*grace),
--- a/crates/mustardpin-world/src/table/peer.rs
+++ b/crates/mustardpin-world/src/table/peer.rs
@@ -74,7 +74,7 @@
     /// When it said so.
     pub load_as_of: Millis,
     /// How long its answers take, as a multiple of what answers on their routes usually take.
-    pub pace: f32,
+    pub latency_ratio: f32,
     /// How it does on the traffic path.
     pub health: Health,
 }
@@ -100,7 +100,7 @@
             unreported: 0,
             load: None,
             load_as_of: Millis::ZERO,
-            pace: 1.0,
+            latency_ratio: 1.0,
             health: Health::default(),
         }
     }
--- a/crates/mustardpin-world/src/table/route.rs
+++ b/crates/mustardpin-world/src/table/route.rs
@@ -70,7 +70,7 @@
             .parts
             .iter()
             .map(|part| Part {
-                service: services.named(&part.service),
+                service: services.get_or_insert(&part.service),
                 weight: part.weight,
                 credit: 0,
             })
--- a/crates/mustardpin-world/src/table/service.rs
+++ b/crates/mustardpin-world/src/table/service.rs
@@ -36,10 +36,10 @@
     /// use mustardpin_world::table::service::Services;
     ///
     /// let mut services = Services::default();
-    /// let ledger = services.named("ledger");
-    /// assert_eq!(services.named("ledger"), ledger);
+    /// let ledger = services.get_or_insert("ledger");
+    /// assert_eq!(services.get_or_insert("ledger"), ledger);
     /// ```
-    pub fn named(&mut self, name: &str) -> ServiceKey {
+    pub fn get_or_insert(&mut self, name: &str) -> ServiceKey {
         if let Some(&key) = self.by_name.get(name) {
             return key;
         }
--- a/crates/mustardpin-world/src/world.rs
+++ b/crates/mustardpin-world/src/world.rs
@@ -136,7 +136,7 @@
     }
 
     /// Asks the store; the reply comes with the ticket returned.
-    pub(crate) fn ask_store(&mut self, tick: &mut Tick, operation: Operation) -> Ticket {
+    pub(crate) fn call_store(&mut self, tick: &mut Tick, operation: Operation) -> Ticket {
         self.systems.last_ticket.0 += 1;
         let ticket = self.systems.last_ticket;
         tick.commands.push(Command::Store(ticket, operation));
@@ -147,7 +147,7 @@
     pub(crate) fn send(&mut self, tick: &mut Tick, to: PeerKey, message: impl Into<Message>) {
         let Some(peer) = self.tables.peers.get(to) else { return };
         tick.commands.push(Command::Send { to: peer.announcement.node, message: message.into() });
-        self.tables.counters.work(Work::Messages);
+        self.tables.counters.count_work(Work::Messages);
     }
 
     /// Sends a message to the peer with this id, if the node knows it.
