--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -286,7 +286,7 @@
     /// How much more a target in the local data centre may cost than one in another before the
     /// other is preferred, in hundredths of a run's time.
     pub local_preference: u32,
-    /// How much earlier than its entry node's a request's deadline at a peer is, so that the peer's
+    /// How much earlier a request's deadline is at a peer than at its entry node, so that the peer's
     /// response arrives before the entry node's deadline.
     pub margin: Millis,
 }
