--- a/crates/mustardpin-world/src/system.rs
+++ b/crates/mustardpin-world/src/system.rs
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 pub(crate) enum TargetChange {
     Reported(TargetReport),
-    Gone { instance: CompactString },
+    Deregistered { instance: CompactString },
     Lost,
 }
 
@@ -149,7 +149,7 @@
                 Event::Store(ticket, reply) => inbox.store.push((ticket, reply)),
                 Event::Target(report) => inbox.target.push(TargetChange::Reported(report)),
                 Event::TargetGone { instance } => {
-                    inbox.target.push(TargetChange::Gone { instance });
+                    inbox.target.push(TargetChange::Deregistered { instance });
                 }
                 Event::TargetLost => inbox.target.push(TargetChange::Lost),
                 Event::Proposed(ticket, proposal) => inbox.proposals.push((ticket, proposal)),
@@ -207,5 +207,5 @@
     quarantine::run(world, tick);
     queueing::run(world, tick);
     pressure::publish(world, tick);
-    stop::leave(world, tick);
+    stop::drain(world, tick);
 }
--- a/crates/mustardpin-world/src/system/ending.rs
+++ b/crates/mustardpin-world/src/system/ending.rs
@@ -71,7 +71,7 @@
         });
     }
     if is_final_status(status) {
-        finish::passed(world, tick, key);
+        finish::complete(world, tick, key);
     } else {
         finish::run(world, tick, key, Verdict::Pass);
     }
--- a/crates/mustardpin-world/src/system/finish.rs
+++ b/crates/mustardpin-world/src/system/finish.rs
@@ -33,7 +33,7 @@
 }
 
 /// Ends a call whose whole answer has gone to the caller already.
-pub(super) fn passed(world: &mut World, tick: &mut Tick, key: CallKey) {
+pub(super) fn complete(world: &mut World, tick: &mut Tick, key: CallKey) {
     let Some(call) = close(world, key) else { return };
     world.tables.counters.work(Work::Answered);
     settle(world, tick, key, &call, Verdict::Pass);
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -102,7 +102,7 @@
     let is_key_unknown = is_key_unknown && tenant.is_none();
     let grant = match parent.and_then(|parent| tables.calls.get(parent)) {
         // The call in the course of which it is made was allowed.
-        Some(call) => permission::Grant { tenant: call.tenant, team: call.team },
+        Some(call) => permission::Principal { tenant: call.tenant, team: call.team },
         None => permission::check(tables, route, tenant).map_err(|reason| match reason {
             Reason::KeyMissing if is_key_unknown => Refusal::not_run(Reason::KeyUnknown),
             Reason::CutOff => Refusal::not_run(reason).after(RETRY_AFTER_CUT),
--- a/crates/mustardpin-world/src/system/permission.rs
+++ b/crates/mustardpin-world/src/system/permission.rs
@@ -11,7 +11,7 @@
 
 /// Who a request runs for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Grant {
+pub(super) struct Principal {
     pub(super) tenant: Option<TenantKey>,
     pub(super) team: Option<TeamKey>,
 }
@@ -21,18 +21,18 @@
     tables: &Tables,
     route: RouteKey,
     tenant: Option<TenantKey>,
-) -> Result<Grant, Reason> {
+) -> Result<Principal, Reason> {
     let Some(route) = tables.routes.get(route) else { return Err(Reason::RouteUnknown) };
     let route = &route.config;
     if route.open {
-        return Ok(Grant { tenant: None, team: None });
+        return Ok(Principal { tenant: None, team: None });
     }
     let team = check_key(tables, tenant)?;
     let name = tables.teams.get(team).map(|team| &team.name);
     if !route.teams.is_empty() && !name.is_some_and(|name| route.teams.contains(name)) {
         return Err(Reason::RouteForbidden);
     }
-    Ok(Grant { tenant, team: Some(team) })
+    Ok(Principal { tenant, team: Some(team) })
 }
 
 /// Whether a call that was allowed when it arrived is still allowed.
--- a/crates/mustardpin-world/src/system/quarantine.rs
+++ b/crates/mustardpin-world/src/system/quarantine.rs
@@ -138,7 +138,7 @@
     let options = &world.options.quarantine;
     let until = tick.now + options.memory;
     let most = if is_trial { options.crashes } else { options.crashes.saturating_sub(1) };
-    let crashes = world.tables.suspects.accuse(fingerprint, until, most, options.limit);
+    let crashes = world.tables.suspects.record_crash(fingerprint, until, most, options.limit);
     if crashes == options.crashes {
         let entry = Entry::new(Level::Warn, "request_quarantined")
             .with("fingerprint", format!("{:016x}", fingerprint.0))
--- a/crates/mustardpin-world/src/system/rating.rs
+++ b/crates/mustardpin-world/src/system/rating.rs
@@ -50,7 +50,7 @@
 
 /// How a team's rate is split at present; `None` if the team is gone or has no limit.
 fn terms(world: &World, team: TeamKey) -> Option<Terms> {
-    let (rate, burst) = world.tables.limits(team)?;
+    let (rate, burst) = world.tables.rate_and_burst(team)?;
     let policy = policy::of(&world.options.rating);
     Some(policy.terms(rate, burst, &world.tables.roster))
 }
--- a/crates/mustardpin-world/src/system/stop.rs
+++ b/crates/mustardpin-world/src/system/stop.rs
@@ -69,7 +69,7 @@
 }
 
 /// Lets a leaving node go once it has finished everything and others know, or its time is up.
-pub(super) fn leave(world: &mut World, tick: &mut Tick) {
+pub(super) fn drain(world: &mut World, tick: &mut Tick) {
     judge(world, tick);
     if !world.tables.leaving {
         return;
--- a/crates/mustardpin-world/src/system/target.rs
+++ b/crates/mustardpin-world/src/system/target.rs
@@ -23,7 +23,7 @@
                 let report = report.clone();
                 take_report(world, tick, report);
             }
-            TargetChange::Gone { instance } => {
+            TargetChange::Deregistered { instance } => {
                 let is_own = *instance == world.tables.target.report.instance;
                 if is_own && world.tables.target.is_open() {
                     world.tables.target.report.draining = true;
--- a/crates/mustardpin-world/src/table/configuration.rs
+++ b/crates/mustardpin-world/src/table/configuration.rs
@@ -36,7 +36,7 @@
 
 impl Tables {
     /// A team's rate and burst, with exceptions; `None` if it is gone or has no limit.
-    pub fn limits(&self, team: TeamKey) -> Option<(u32, u32)> {
+    pub fn rate_and_burst(&self, team: TeamKey) -> Option<(u32, u32)> {
         let team = self.teams.get(team)?;
         let limits = self.exceptions.rate(&team.name).unwrap_or((team.rate, team.burst));
         Some(limits).filter(|(rate, _)| *rate > 0)
--- a/crates/mustardpin-world/src/table/suspect.rs
+++ b/crates/mustardpin-world/src/table/suspect.rs
@@ -23,7 +23,7 @@
 impl Suspects {
     /// Counts a crash against a request, up to a number of crashes. At the limit, the request that
     /// would be forgotten first makes room. Returns the number.
-    pub fn accuse(
+    pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
         until: Millis,
