--- a/crates/mustardpin-world/src/message.rs
+++ b/crates/mustardpin-world/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages between worlds. Each system has its own; any of them may get lost or come late.
+//! Messages between the worlds of two nodes. Each system has its own type; any message may be lost
+//! or delayed.
 
 pub mod configuration;
 pub mod fleet;
@@ -13,16 +14,16 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(From)]
 pub enum Message {
-    /// Who is there.
+    /// Nodes that the sender is connected to.
     Fleet(fleet::Message),
-    /// What operators agreed on.
+    /// Requests for the configuration, and copies of it.
     Configuration(configuration::Message),
-    /// How old knowledge is.
+    /// Age of what a node knows from the store.
     Freshness(freshness::Message),
-    /// Rate tokens.
+    /// Tokens of rate limits.
     Share(share::Message),
-    /// What services cost and how much they are asked for.
+    /// Cost of runs on the sender's target, by route.
     Pressure(pressure::Message),
-    /// Requests that crash targets.
+    /// Crashes of targets, and the requests that were running then.
     Quarantine(quarantine::Message),
 }
--- a/crates/mustardpin-world/src/message/configuration.rs
+++ b/crates/mustardpin-world/src/message/configuration.rs
@@ -2,19 +2,19 @@
 
 use crate::{config::Row, id::Revision};
 
-/// A message about the configuration.
+/// A message of the configuration system.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Asks for the configuration if the receiver's is later.
+    /// Asks for the configuration if the receiver has a later revision.
     Want {
-        /// The sender's revision.
+        /// The revision that the sender has.
         after: Revision,
     },
-    /// The whole configuration as of a revision.
+    /// The complete configuration at a revision.
     Have {
-        /// The revision.
+        /// Revision of the rows.
         revision: Revision,
-        /// Every row.
+        /// Every row of the configuration.
         rows: Vec<Row>,
     },
 }
--- a/crates/mustardpin-world/src/message/quarantine.rs
+++ b/crates/mustardpin-world/src/message/quarantine.rs
@@ -5,15 +5,15 @@
 /// A message of the quarantine system.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// These requests were running as a target crashed.
+    /// A target crashed while these requests were running on it.
     Crashed {
-        /// Names the crash, so that news of it that comes twice counts once.
+        /// Random id of the crash, by which receivers count a repeated message once.
         crash: u64,
-        /// The requests.
+        /// Fingerprints of the requests.
         requests: Vec<Fingerprint>,
-        /// The one among them that was tried alone, if there was one.
+        /// The one of them that ran as a trial, with no other suspect beside it, if one did.
         tried: Option<Fingerprint>,
     },
-    /// This request, suspected before, has run to its end.
+    /// A suspected request has run to its end without a crash.
     Cleared(Fingerprint),
 }
--- a/crates/mustardpin-world/src/system.rs
+++ b/crates/mustardpin-world/src/system.rs
@@ -1,4 +1,4 @@
-//! The systems, and the order in which they run each tick.
+//! The systems and the order in which they run in each tick.
 
 mod configuration;
 mod deadline;
@@ -38,7 +38,7 @@
     world::{Tick, World},
 };
 
-/// What the systems remember from tick to tick beside the tables.
+/// State that the systems keep between ticks besides the tables.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) last_ticket: store::Ticket,
@@ -58,7 +58,7 @@
 }
 
 impl State {
-    /// The state before the first tick, with the policies that the options choose.
+    /// Creates the state before the first tick, with the policies that the options select.
     pub(crate) fn new(options: &Options) -> State {
         State {
             last_ticket: store::Ticket::default(),
@@ -79,7 +79,7 @@
     }
 }
 
-/// What became of the connection to a peer.
+/// A change of the connection to a peer.
 #[derive(Debug)]
 pub(crate) enum LinkChange {
     Seen(Announcement),
@@ -88,7 +88,7 @@
     Down { peer: NodeId, refused: bool },
 }
 
-/// What the own target said of itself.
+/// A change of the local target's registration, or its loss.
 #[derive(Debug)]
 pub(crate) enum TargetChange {
     Reported(TargetReport),
@@ -96,7 +96,7 @@
     Lost,
 }
 
-/// The events of one tick, sorted by the system that reads them.
+/// The events of one tick, grouped by the system that handles them.
 #[derive(Debug, Default)]
 pub(crate) struct Inbox {
     pub(crate) arrived: Vec<Request>,
@@ -121,7 +121,7 @@
 }
 
 impl Inbox {
-    /// Sorts events; those of one kind stay in order.
+    /// Groups events by kind. Events of one kind keep their order.
     pub(crate) fn sort(events: Vec<Event>) -> Inbox {
         let mut inbox = Inbox::default();
         for event in events {
@@ -172,8 +172,8 @@
     }
 }
 
-/// Puts other options in force. What was learned about the target goes on, unless its limit is
-/// found in another way.
+/// Applies reloaded options. All systems keep their state, except the concurrency limit if its
+/// options changed.
 fn reload(world: &mut World, options: Options) {
     if options.limit != world.options.limit {
         world.systems.limit = limit::State::new(&options.limit);
@@ -181,7 +181,8 @@
     world.options = options;
 }
 
-/// Runs every system once. Knowledge comes first, then what has ended, then what has arrived.
+/// Runs every system once: first those that update the node's knowledge, then those that handle
+/// ended calls, then those that handle new requests.
 pub(crate) fn run(world: &mut World, tick: &mut Tick) {
     if let Some(options) = tick.inbox.options.take() {
         reload(world, options);
--- a/crates/mustardpin-world/src/system/configuration.rs
+++ b/crates/mustardpin-world/src/system/configuration.rs
@@ -1,7 +1,7 @@
-//! Applies what the store and peers say of the configuration.
+//! Applies the configuration that the store and peers send.
 //!
-//! A node only ever moves to a higher revision. Peers help a node that has just started while the
-//! store is away, and one that the store does not answer while it answers others.
+//! A node only ever moves to a higher revision. Peers send the configuration to a node that starts
+//! while the store is unavailable, or that can't reach the store while others can.
 
 use crate::{
     clock::Millis,
@@ -16,32 +16,34 @@
     world::{Tick, World},
 };
 
-/// The shortest time between two requests to peers for the configuration.
-const WANT_PERIOD: Millis = Millis(200);
-/// A node asks peers for a later configuration once its own news is older than this.
-const OLD_NEWS: Millis = Millis(1_800);
+/// The minimum time between two requests to peers for the configuration.
+const MIN_REQUEST_INTERVAL: Millis = Millis(200);
+/// A node requests a later configuration from peers once the store has not confirmed its own for
+/// this long.
+const STALE_AFTER: Millis = Millis(1_800);
 
-/// What the system remembers from tick to tick.
+/// State that the system keeps between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    next_want: Millis,
+    /// The earliest time of the next request to a peer.
+    next_at: Millis,
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     let before = world.tables.configuration.revision;
     for index in 0..tick.inbox.store.len() {
-        read_store(world, &tick.inbox.store[index].1);
+        apply_reply(world, &tick.inbox.store[index].1);
     }
     let from_store = world.tables.configuration.revision;
     for (from, message) in std::mem::take(&mut tick.inbox.configuration) {
         match message {
-            Message::Want { after } => give(world, tick, from, after),
+            Message::Want { after } => send_if_later(world, tick, from, after),
             Message::Have { revision, rows } => {
                 world.tables.apply(Update::Whole { revision, rows });
             }
         }
     }
-    want(world, tick);
+    request_from_peer(world, tick);
     let configuration = &world.tables.configuration;
     if configuration.revision == before {
         return;
@@ -57,8 +59,8 @@
     tick.log(entry);
 }
 
-/// Gives a peer the configuration, if it has an earlier one.
-fn give(world: &mut World, tick: &mut Tick, to: NodeId, after: Revision) {
+/// Sends the configuration to a peer that has an earlier revision.
+fn send_if_later(world: &mut World, tick: &mut Tick, to: NodeId, after: Revision) {
     let configuration = &world.tables.configuration;
     if after >= configuration.revision {
         return;
@@ -67,12 +69,13 @@
     world.send_to(tick, to, Message::Have { revision, rows });
 }
 
-/// Asks a peer that has a later configuration for it, where the store has not said so itself.
-fn want(world: &mut World, tick: &mut Tick) {
+/// Requests a later configuration from the peer with the latest revision, if this node has none,
+/// the store has not confirmed its own recently, or a peer has just connected.
+fn request_from_peer(world: &mut World, tick: &mut Tick) {
     let own = world.tables.configuration.revision;
     let is_linked = tick.inbox.links.iter().any(|link| matches!(link, LinkChange::Up { .. }));
-    let is_old = world.tables.freshness.configuration_age(tick.now) >= OLD_NEWS;
-    if (!is_old && own.0 > 0 && !is_linked) || tick.now < world.systems.configuration.next_want {
+    let is_stale = world.tables.freshness.configuration_age(tick.now) >= STALE_AFTER;
+    if (!is_stale && own.0 > 0 && !is_linked) || tick.now < world.systems.configuration.next_at {
         return;
     }
     let peers = world.tables.peers.iter();
@@ -80,29 +83,30 @@
         .filter(|(_, peer)| peer.link == Link::Up && peer.revision > own)
         .max_by_key(|(_, peer)| peer.revision);
     let Some((peer, _)) = latest else { return };
-    world.systems.configuration.next_want = tick.now + WANT_PERIOD;
-    tick.wake(tick.now + WANT_PERIOD);
+    world.systems.configuration.next_at = tick.now + MIN_REQUEST_INTERVAL;
+    tick.wake(tick.now + MIN_REQUEST_INTERVAL);
     world.send(tick, peer, Message::Want { after: own });
 }
 
-fn read_store(world: &mut World, r: &Reply) {
+fn apply_reply(world: &mut World, r: &Reply) {
     let Reply::Changes { area: Area::Configuration, whole, up_to, changes, .. } = r else { return };
     match changes {
         Changes::Document(update) => world.tables.apply(update.clone()),
         Changes::Rows(rows) => {
-            // A whole reading that was overtaken by changes says nothing of what is not in it.
+            // A complete read that is older than changes already applied doesn't show which rows
+            // are absent now.
             let is_latest = world.tables.configuration.read.is_none_or(|read| read <= *up_to);
             if *whole && is_latest {
-                drop_absent(world, rows, Revision(up_to.0));
+                remove_absent(world, rows, Revision(up_to.0));
             }
             for row in rows {
-                take_row(world, row);
+                apply_row(world, row);
             }
         }
     }
 }
 
-fn take_row(world: &mut World, row: &Row) {
+fn apply_row(world: &mut World, row: &Row) {
     let revision = Revision(row.version.0);
     match (&row.key, &row.value) {
         (RowKey::Configuration(path), value) => {
@@ -124,8 +128,8 @@
     }
 }
 
-/// Withdraws the rows that a whole reading does not have.
-fn drop_absent(world: &mut World, rows: &[Row], revision: Revision) {
+/// Removes the rows that are missing from a complete read.
+fn remove_absent(world: &mut World, rows: &[Row], revision: Revision) {
     let records = world.tables.configuration.records.values();
     let absent: Vec<Record> = records
         .filter(|record| record.row.is_some())
--- a/crates/mustardpin-world/src/system/deadline.rs
+++ b/crates/mustardpin-world/src/system/deadline.rs
@@ -1,4 +1,4 @@
-//! Ends calls whose time is up.
+//! Ends calls whose deadline has passed.
 
 use crate::{
     command::Command,
@@ -9,14 +9,14 @@
     world::{Tick, World},
 };
 
-/// When callers should send again what found no place in time.
+/// When a caller should retry a request that did not start to run before its deadline.
 const RETRY_AFTER: crate::Millis = crate::Millis(500);
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for key in world.tables.calls.take_due(tick.now) {
         let Some(call) = world.tables.calls.get_mut(key) else { continue };
         match call.stage {
-            // The end of the attempt follows, and says what is known of it.
+            // The event that ends the attempt follows; it determines the outcome.
             Stage::Running | Stage::Forwarded => {
                 if !call.cancelling {
                     call.cancelling = true;
--- a/crates/mustardpin-world/src/system/ending.rs
+++ b/crates/mustardpin-world/src/system/ending.rs
@@ -9,7 +9,7 @@
     world::{Tick, World},
 };
 
-/// When callers should send again what a target has declined.
+/// When a caller should retry a request that neither a target nor a peer has run.
 const RETRY_AFTER_DECLINED: crate::Millis = crate::Millis(300);
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
@@ -30,15 +30,15 @@
 
 fn run_ended(world: &mut World, tick: &mut Tick, ticket: Ticket, end: RunEnd) {
     let Some(key) = world.tables.calls.by_ticket(ticket) else { return };
-    let verdict = match end {
+    let refusal = match end {
         RunEnd::Answered { status, .. } => return answered(world, tick, key, status),
         RunEnd::Declined | RunEnd::Misdirected | RunEnd::NotSent => {
             Refusal::not_run(Reason::TargetFailed).after(RETRY_AFTER_DECLINED)
         }
         RunEnd::Broken => Refusal::unknown(Reason::TargetFailed),
-        RunEnd::Cancelled => cancelled(world, key),
+        RunEnd::Cancelled => cancellation(world, key),
     };
-    finish::run(world, tick, key, Verdict::Refuse(verdict));
+    finish::run(world, tick, key, Verdict::Refuse(refusal));
 }
 
 fn forward_ended(world: &mut World, tick: &mut Tick, ticket: Ticket, end: ForwardEnd) {
@@ -48,7 +48,7 @@
         ForwardEnd::Refused(refusal) => refusal,
         ForwardEnd::NotSent => Refusal::not_run(Reason::PeerFailed).after(RETRY_AFTER_DECLINED),
         ForwardEnd::Broken => Refusal::unknown(Reason::PeerFailed),
-        ForwardEnd::Cancelled => cancelled(world, key),
+        ForwardEnd::Cancelled => cancellation(world, key),
     };
     finish::run(world, tick, key, Verdict::Refuse(refusal));
 }
@@ -77,7 +77,7 @@
     }
 }
 
-fn cancelled(world: &World, key: CallKey) -> Refusal {
+fn cancellation(world: &World, key: CallKey) -> Refusal {
     let abandoned = world.tables.calls.get(key).is_some_and(|call| call.abandoned);
     let reason = if abandoned { Reason::CallerGone } else { Reason::DeadlineDuringRun };
     Refusal { reason, outcome: Outcome::Unknown, retry_after: None }
--- a/crates/mustardpin-world/src/system/finish.rs
+++ b/crates/mustardpin-world/src/system/finish.rs
@@ -1,4 +1,4 @@
-//! Ends a call: counts the verdict, frees what the call held and answers the caller.
+//! Ends a call: counts the verdict, frees the slot of the call and responds to the caller.
 
 use crate::{
     command::Command,
@@ -16,10 +16,10 @@
     world::{Tick, World},
 };
 
-/// Ends a call with a verdict that the caller is told.
+/// Ends a call and sends the verdict to the traffic side, which responds to the caller.
 pub(super) fn run(world: &mut World, tick: &mut Tick, key: CallKey, verdict: Verdict) {
     let Some(call) = close(world, key) else { return };
-    let verdict = honest(&call, verdict);
+    let verdict = correct_outcome(&call, verdict);
     match &verdict {
         Verdict::Pass => world.tables.counters.work(Work::Answered),
         Verdict::Refuse(refusal) => {
@@ -27,16 +27,16 @@
             tick.log(refused_entry(world, tick, &call, *refusal));
         }
     }
-    settle(world, tick, key, &call, verdict);
+    record_end(world, tick, key, &call, verdict);
     let (ticket, retries) = (call.ticket, call.retry_allowance);
     tick.commands.push(Command::Finish { ticket, verdict, retries });
 }
 
-/// Ends a call whose whole answer has gone to the caller already.
+/// Ends a call whose complete response has already been sent to the caller.
 pub(super) fn complete(world: &mut World, tick: &mut Tick, key: CallKey) {
     let Some(call) = close(world, key) else { return };
     world.tables.counters.work(Work::Answered);
-    settle(world, tick, key, &call, Verdict::Pass);
+    record_end(world, tick, key, &call, Verdict::Pass);
 }
 
 fn close(world: &mut World, key: CallKey) -> Option<Call> {
@@ -45,15 +45,15 @@
     Some(call)
 }
 
-fn settle(world: &mut World, tick: &mut Tick, key: CallKey, call: &Call, verdict: Verdict) {
-    let took = tick.now - call.arrived;
-    world.tables.latencies.request(source_of(call), end_of(call, verdict), took);
+fn record_end(world: &mut World, tick: &mut Tick, key: CallKey, call: &Call, verdict: Verdict) {
+    let duration = tick.now - call.arrived;
+    world.tables.latencies.request(source_of(call), end_of(call, verdict), duration);
     if let Some(parent) = call.parent.and_then(|parent| world.tables.calls.get_mut(parent)) {
         parent.retry_allowance += call.retry_allowance;
         parent.lineage.children.retain(|child| *child != key);
     }
     resend::finished(world, tick.now, call, &verdict);
-    abandon_children(world, tick, call);
+    cancel_children(world, tick, call);
 }
 
 fn source_of(call: &Call) -> Source {
@@ -73,8 +73,8 @@
     }
 }
 
-/// A call that a target may have seen is not refused as one that has not run.
-fn honest(call: &Call, verdict: Verdict) -> Verdict {
+/// Changes the outcome of a refusal from not-run to unknown if a target may have run the call.
+fn correct_outcome(call: &Call, verdict: Verdict) -> Verdict {
     let Verdict::Refuse(refusal) = verdict else { return verdict };
     if refusal.outcome != Outcome::NotRun || !call.lineage.may_have_run {
         return verdict;
@@ -107,7 +107,7 @@
     }
 }
 
-/// Frees the place that a call held at the own target or at a peer.
+/// Frees the slot that a call held at the local target or at a peer.
 pub(super) fn release(tables: &mut Tables, stage: Stage, peer: Option<PeerKey>) {
     match stage {
         Stage::Running => tables.target.running = tables.target.running.saturating_sub(1),
@@ -120,8 +120,8 @@
     }
 }
 
-/// Nobody waits any more for the calls that a call has made.
-fn abandon_children(world: &mut World, tick: &mut Tick, call: &Call) {
+/// Cancels the nested calls of a call that has ended.
+fn cancel_children(world: &mut World, tick: &mut Tick, call: &Call) {
     if !world.options.pressure.cancellation {
         return;
     }
@@ -130,8 +130,9 @@
     }
 }
 
-/// Nobody waits for a call any more: what runs is cancelled, what waits is dropped. A
-/// non-repeatable run goes on, since half of its work may be worse than all of it.
+/// Cancels a call whose caller no longer waits: a running attempt is cancelled, a waiting call is
+/// refused. A non-repeatable run on the local target continues, since half of its work may be worse
+/// than all of it.
 pub(super) fn abandon(world: &mut World, tick: &mut Tick, key: CallKey) {
     let Some(call) = world.tables.calls.get_mut(key) else { return };
     if call.abandoned {
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -1,4 +1,4 @@
-//! Takes requests in: finds the route, checks the key and opens a call.
+//! Accepts requests: resolves the route, checks the key and creates a call.
 
 use compact_str::CompactString;
 use rand::RngExt as _;
@@ -20,12 +20,12 @@
     world::{Tick, World},
 };
 
-/// When callers should send again what a node that is starting cannot judge yet.
+/// When a caller should retry a request that came before the node had a configuration.
 const RETRY_AFTER_START: Millis = Millis(300);
-/// When callers should send again what a node that is cut off cannot judge.
+/// When a caller should retry a request that a cut-off node refused.
 const RETRY_AFTER_CUT: Millis = Millis(1_000);
 
-/// What a request brings along from where it came.
+/// The properties of a new call that depend on the origin of its request.
 struct Arrival {
     route: Option<RouteKey>,
     service: ServiceKey,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Refuses a request for which no call was opened.
+/// Refuses a request for which no call was created.
 fn refuse(world: &mut World, tick: &mut Tick, request: &Request, refusal: Refusal) {
     world.tables.counters.refuse(refusal.reason);
     let configuration = &world.tables.configuration;
@@ -100,8 +100,8 @@
     let route = route.ok_or(Refusal::not_run(Reason::RouteUnknown))?;
     let is_key_unknown = matches!(&request.origin, Origin::Caller { key: Some(_) });
     let is_key_unknown = is_key_unknown && tenant.is_none();
-    let grant = match parent.and_then(|parent| tables.calls.get(parent)) {
-        // The call in the course of which it is made was allowed.
+    let principal = match parent.and_then(|parent| tables.calls.get(parent)) {
+        // The parent call was allowed; a nested request runs for the same principal.
         Some(call) => permission::Principal { tenant: call.tenant, team: call.team },
         None => permission::check(tables, route, tenant).map_err(|reason| match reason {
             Reason::KeyMissing if is_key_unknown => Refusal::not_run(Reason::KeyUnknown),
@@ -111,21 +111,21 @@
     };
     let row = world.tables.routes.get_mut(route).ok_or(Refusal::not_run(Reason::RouteUnknown))?;
     let service = row.next_service().ok_or(Refusal::not_run(Reason::NoTarget))?;
-    let (timeout, objective, repeatable, attempts) = terms(row);
+    let (timeout, objective, repeatable, retries) = route_parameters(row);
     let timeout = timeout.min(request.timeout.unwrap_or(world.options.routing.default_timeout));
     let deadline = now + timeout;
     let fleet_allowance = world.tables.configuration.fleet.retry_allowance;
-    let allowance = attempts.map_or(fleet_allowance, |attempts| fleet_allowance.min(attempts));
+    let allowance = retries.map_or(fleet_allowance, |retries| fleet_allowance.min(retries));
     let mut arrival = Arrival {
         route: Some(route),
         service,
         from: None,
         parent,
         nesting,
-        tenant: grant.tenant,
+        tenant: principal.tenant,
         key_id: None,
-        team: grant.team,
-        rank: world.tables.rank(grant.team, route),
+        team: principal.team,
+        rank: world.tables.rank(principal.team, route),
         repeatable,
         objective: now + objective.min(timeout),
         deadline,
@@ -138,20 +138,21 @@
         arrival.deadline = arrival.deadline.min(call.deadline);
         arrival.depth = call.depth + 1;
     }
-    allow_repeats(world, now, request, &mut arrival)?;
+    set_retry_allowance(world, now, request, &mut arrival)?;
     Ok(arrival)
 }
 
-/// The time limit, the objective, whether it may be repeated, and the repeats within its attempts.
-fn terms(route: &Route) -> (Millis, Millis, bool, Option<u32>) {
+/// A route's timeout, its objective, whether its requests may run twice, and its maximum number of
+/// retries (`None` if the route sets none).
+fn route_parameters(route: &Route) -> (Millis, Millis, bool, Option<u32>) {
     let config = &route.config;
     let objective = config.objective.unwrap_or(config.timeout);
-    let repeats = config.attempts.map(|attempts| u32::from(attempts).saturating_sub(1));
-    (config.timeout, objective, config.repeatable, repeats)
+    let max_retries = config.attempts.map(|attempts| u32::from(attempts).saturating_sub(1));
+    (config.timeout, objective, config.repeatable, max_retries)
 }
 
-/// Sets the repeats that a request may cause, or says why it may not run.
-fn allow_repeats(
+/// Sets the number of retries that a request may cause, or returns why it may not run.
+fn set_retry_allowance(
     world: &mut World,
     now: Millis,
     request: &Request,
@@ -203,8 +204,8 @@
 
 fn open(world: &mut World, tick: &mut Tick, request: Request, arrival: Arrival) {
     let is_root = arrival.from.is_none() && !arrival.nesting.is_nested();
-    let charged = is_root && arrival.team.is_some();
-    let stage = if charged { Stage::Rating } else { Stage::Routing };
+    let is_rate_limited = is_root && arrival.team.is_some();
+    let stage = if is_rate_limited { Stage::Rating } else { Stage::Routing };
     let call = Call {
         ticket: request.ticket,
         is_logged: log::is_sampled(&request.id, world.options.logging.one_in),
@@ -236,7 +237,7 @@
         lineage: Default::default(),
     };
     if call.is_logged {
-        tick.log(opened(world, &call));
+        tick.log(arrived_entry(world, &call));
     }
     let from_target = call.nesting.is_nested() && call.from.is_none();
     let (route, parent) = (call.route, call.parent);
@@ -253,7 +254,7 @@
     }
 }
 
-fn opened(world: &World, call: &Call) -> Entry {
+fn arrived_entry(world: &World, call: &Call) -> Entry {
     let tables = &world.tables;
     let route = call.route.and_then(|route| tables.routes.get(route));
     let team = call.team.and_then(|team| tables.teams.get(team));
--- a/crates/mustardpin-world/src/system/permission.rs
+++ b/crates/mustardpin-world/src/system/permission.rs
@@ -1,6 +1,6 @@
-//! Whether a request may run, by the node's present knowledge.
+//! Decides whether a request may run, by what the node currently knows.
 //!
-//! Asked when a request arrives and again right before the target gets its first byte.
+//! Checked when a request arrives, and again right before its first byte is sent to the target.
 
 use crate::{
     config::CutOffPolicy,
@@ -9,14 +9,15 @@
     table::{Tables, call::Call},
 };
 
-/// Who a request runs for.
+/// The tenant and team that a request runs for. Both are `None` on an open route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Principal {
     pub(super) tenant: Option<TenantKey>,
     pub(super) team: Option<TeamKey>,
 }
 
-/// Who a request on this route with this tenant key runs for, or why it may not run.
+/// Returns the principal of a request on this route with this tenant key, or why the request may
+/// not run.
 pub(super) fn check(
     tables: &Tables,
     route: RouteKey,
@@ -35,18 +36,18 @@
     Ok(Principal { tenant, team: Some(team) })
 }
 
-/// Whether a call that was allowed when it arrived is still allowed.
+/// Checks whether a call that was allowed on arrival still is.
 pub(super) fn check_again(tables: &Tables, call: &Call) -> Result<(), Reason> {
     match (&call.key_id, call.route) {
-        // A peer that passed the call on has decided by its route; its key may be withdrawn since.
+        // The peer that forwarded the call has checked its route; the key may be withdrawn since.
         (Some(id), _) => check_id(tables, id),
         (None, Some(route)) if call.from.is_none() => check(tables, route, call.tenant).map(|_| ()),
         _ => Ok(()),
     }
 }
 
-/// Whether a key is still in use. A key that this node has never heard of may be newer than its
-/// configuration, by which it cannot judge.
+/// Checks that a key is not withdrawn. A key that this node does not know is accepted, since it may
+/// be newer than the node's configuration.
 fn check_id(tables: &Tables, id: &str) -> Result<(), Reason> {
     let Some(tenant) = tables.tenants.by_id(id) else { return Ok(()) };
     check_key(tables, Some(tenant)).map(|_| ())
@@ -59,14 +60,14 @@
         return Err(Reason::KeyWithdrawn);
     }
     let team = tables.teams.by_name(&key.team).ok_or(Reason::KeyUnknown)?;
-    if tables.freshness.is_cut_off && !goes_on(tables, team) {
+    if tables.freshness.is_cut_off && !may_serve_cut_off(tables, team) {
         return Err(Reason::CutOff);
     }
     Ok(team)
 }
 
-/// Whether the node may go on for a team without fresh knowledge.
-fn goes_on(tables: &Tables, team: TeamKey) -> bool {
+/// Whether a cut-off node may still serve requests of a team.
+fn may_serve_cut_off(tables: &Tables, team: TeamKey) -> bool {
     match tables.cut_off_policy(team) {
         CutOffPolicy::Refuse => false,
         CutOffPolicy::Serve(grace) => tables.freshness.age < grace,
--- a/crates/mustardpin-world/src/system/proposal.rs
+++ b/crates/mustardpin-world/src/system/proposal.rs
@@ -1,8 +1,9 @@
-//! Takes operators' changes to the store and answers once their outcome is known.
+//! Writes operators' changes to the store and replies once their outcome is known.
 //!
-//! Each attempt first reads the store: that shows whether the change stands already, what came
-//! in between, and what it refers to. Only then one transaction, guarded by the head, writes it
-//! whole. A lost answer is settled by reading again: the change's id stands in the head or not.
+//! Each attempt first reads the store, to find whether the change is already written, which other
+//! changes were written meanwhile and what the change refers to. Then a single transaction writes
+//! the whole change, on condition that the head row has not changed. If the reply is lost, another
+//! read shows the outcome: the head row holds the change's id or not.
 
 use std::collections::VecDeque;
 
@@ -17,21 +18,21 @@
     world::{Tick, World},
 };
 
-/// How many ids of changes the head row keeps.
-const RECENT: usize = 64;
+/// The maximum number of change ids in the head row.
+const MAX_RECENT_CHANGES: usize = 64;
 
-/// What a proposal waits for.
+/// What an open proposal waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wait {
     /// The time of the next attempt.
     Until(Millis),
-    /// The store's rows.
+    /// The store's reply to the read.
     Read(Ticket),
-    /// The store's answer to the transaction.
+    /// The store's reply to the transaction.
     Write(Ticket),
 }
 
-/// A change whose outcome is not known.
+/// A proposal whose outcome is not known yet.
 #[derive(Debug)]
 struct Open {
     ticket: ProposalTicket,
@@ -40,7 +41,7 @@
     wait: Wait,
 }
 
-/// What the system remembers from tick to tick.
+/// State that the system keeps between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     open: VecDeque<Open>,
@@ -54,13 +55,13 @@
     for _ in 0..world.systems.proposal.open.len() {
         let Some(mut open) = world.systems.proposal.open.pop_front() else { break };
         match advance(world, tick, &mut open) {
-            Some(answer) => tick.commands.push(Command::Answer(open.ticket, answer)),
+            Some(outcome) => tick.commands.push(Command::Answer(open.ticket, outcome)),
             None => world.systems.proposal.open.push_back(open),
         }
     }
 }
 
-/// Takes a proposal as far as it goes. Returns the answer for the operator once it is known.
+/// Advances a proposal as far as possible in this tick. Returns the outcome once it is known.
 fn advance(
     world: &mut World,
     tick: &mut Tick,
@@ -76,12 +77,12 @@
         Wait::Until(_) => open.wait = Wait::Read(read(world, tick)),
         Wait::Read(ticket) => match reply_to(tick, ticket)? {
             Reply::Changes { .. } => return attempt(world, tick, open),
-            _ => pause(world, tick, open),
+            _ => schedule_retry(world, tick, open),
         },
         Wait::Write(ticket) => match reply_to(tick, ticket)? {
             Reply::Written { version } => {
                 let revision = Revision(version.0);
-                accept(world, &open.proposal, revision);
+                apply(world, &open.proposal, revision);
                 return Some(Ok(revision));
             }
             Reply::Refused(Refused::Forbidden) => return Some(Err(ChangeError::ReadOnly)),
@@ -97,16 +98,16 @@
 
 fn reply_to(tick: &Tick, ticket: Ticket) -> Option<&Reply> {
     let replies = tick.inbox.store.iter();
-    replies.filter(|(asked, _)| *asked == ticket).map(|(_, reply)| reply).next()
+    replies.filter(|(request, _)| *request == ticket).map(|(_, reply)| reply).next()
 }
 
-fn pause(world: &World, tick: &mut Tick, open: &mut Open) {
+fn schedule_retry(world: &World, tick: &mut Tick, open: &mut Open) {
     let at = tick.now + world.options.configuration.settle_period;
     open.wait = Wait::Until(at);
     tick.wake(at);
 }
 
-/// Checks a proposal against what the store has just said, and writes it if it stands up.
+/// Validates a proposal against the configuration that was just read, and writes it if it is valid.
 fn attempt(
     world: &mut World,
     tick: &mut Tick,
@@ -132,7 +133,7 @@
     let configuration = &world.tables.configuration;
     let mut recent = configuration.recent.clone();
     recent.push(proposal.id.clone());
-    let surplus = recent.len().saturating_sub(RECENT);
+    let surplus = recent.len().saturating_sub(MAX_RECENT_CHANGES);
     recent.drain(..surplus);
     let written = proposal
         .rows
@@ -143,8 +144,8 @@
     Operation::Write { expected: vec![(RowKey::Head, configuration.head)], puts, removals }
 }
 
-/// Puts an accepted change in force here at once.
-fn accept(world: &mut World, proposal: &Proposal, revision: Revision) {
+/// Applies a written change on this node without waiting for the store to send it.
+fn apply(world: &mut World, proposal: &Proposal, revision: Revision) {
     let written = proposal.rows.iter().map(|row| (row.path(), Some(row.clone())));
     let removed = proposal.removals.iter().map(|path| (path.clone(), None));
     for (path, row) in written.chain(removed) {
@@ -158,7 +159,8 @@
     configuration.revision = configuration.revision.max(revision);
 }
 
-/// The revision that a change was given: that of its records, unless later ones replaced them all.
+/// The revision at which a change was written: that of its records, unless later changes replaced
+/// them all.
 fn revision_of(world: &World, proposal: &Proposal) -> Revision {
     let configuration = &world.tables.configuration;
     if configuration.recent.last() == Some(&proposal.id) {
--- a/crates/mustardpin-world/src/system/quarantine.rs
+++ b/crates/mustardpin-world/src/system/quarantine.rs
@@ -1,9 +1,9 @@
-//! Keeps requests that crash targets away from them.
+//! Refuses poison requests, which crash targets.
 //!
-//! A request that was running as a target crashed is remembered in the whole fleet. Before the
-//! crash that would be one too many, it is tried alone: no other request like it runs beside it.
-//! If the target crashes again, the request is refused from then on. A request that runs to its
-//! end is innocent.
+//! A request that was running when a target crashed becomes a suspect on every node of the fleet.
+//! Once one more crash would quarantine it, it runs only as a trial: no other suspect that needs a
+//! trial runs beside it on this target. If the target crashes in the trial, the request is refused
+//! from then on. A request that runs to its end is no longer a suspect.
 
 use std::collections::VecDeque;
 
@@ -21,50 +21,54 @@
     world::{Tick, World},
 };
 
-/// A run that broke within this time of the loss of the target may have caused it.
+/// A broken run may have caused the loss of the target if there was at most this time between the
+/// two.
 const CRASH_WINDOW: Millis = Millis(2_000);
-/// The time between two looks at calls that wait for a trial.
-const LOOK_PERIOD: Millis = Millis(20);
-/// The time between two sendings of the same news to all peers.
-const PUSH_PERIOD: Millis = Millis(400);
-/// How often news is sent, in case it gets lost.
-const PUSHES: u32 = 3;
-/// Crashes that are remembered, so that each is counted once.
-const MAX_CRASHES: usize = 256;
-
-/// A run that broke.
+/// The time between two checks of a call that waits for a trial.
+const TRIAL_CHECK_INTERVAL: Millis = Millis(20);
+/// The time between two transmissions of a message to all peers.
+const SEND_INTERVAL: Millis = Millis(400);
+/// How many times a message is sent to each peer, in case some are lost.
+const TRANSMISSIONS: u32 = 3;
+/// The maximum number of crash ids that are kept to count each crash once.
+const MAX_COUNTED_CRASHES: usize = 256;
+
+/// A run whose connection broke, or whose response was malformed.
 #[derive(Debug, Clone, Copy)]
-struct Broken {
+struct BrokenRun {
     fingerprint: Fingerprint,
-    /// Whether it was tried alone.
+    /// Whether the run was a trial.
     is_trial: bool,
     at: Millis,
 }
 
-/// News on its way to all peers.
+/// A message that is sent to all peers several times.
 #[derive(Debug)]
-struct Push {
+struct Broadcast {
     message: Message,
-    left: u32,
+    /// Transmissions that remain.
+    remaining: u32,
+    /// The time of the next transmission.
     next: Millis,
 }
 
-/// What the system remembers from tick to tick.
+/// State that the system keeps between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// Runs that broke.
-    broken: Vec<Broken>,
+    /// Runs that broke within the crash window.
+    broken: Vec<BrokenRun>,
+    /// When the target was last lost or ejected.
     lost_at: Option<Millis>,
-    /// Crashes that have been counted.
-    counted: VecDeque<u64>,
-    pushes: Vec<Push>,
+    /// Ids of crashes that have been counted, oldest first.
+    counted_crashes: VecDeque<u64>,
+    broadcasts: Vec<Broadcast>,
 }
 
-/// Learns of crashes and of runs that have ended, and from peers. Runs before anything is tried
-/// again.
+/// Records crashes and completed runs, of this node and as reported by peers. Runs before the retry
+/// system, which removes the runs that it retries from the inbox.
 pub(super) fn observe(world: &mut World, tick: &mut Tick) {
     for (_, message) in std::mem::take(&mut tick.inbox.quarantine) {
-        learn(world, tick, message);
+        apply(world, tick, message);
     }
     for index in 0..tick.inbox.runs_ended.len() {
         let (ticket, end) = &tick.inbox.runs_ended[index];
@@ -74,7 +78,7 @@
         match end {
             RunEnd::Broken => {
                 let is_trial = world.tables.target.trial == Some(key);
-                let broken = Broken { fingerprint, is_trial, at: tick.now };
+                let broken = BrokenRun { fingerprint, is_trial, at: tick.now };
                 world.systems.quarantine.broken.push(broken);
             }
             RunEnd::Answered { .. } => clear(world, tick, fingerprint),
@@ -85,20 +89,20 @@
     if tick.inbox.target.iter().any(is_lost) || world.tables.target.health.is_ejected() {
         world.systems.quarantine.lost_at = Some(tick.now);
     }
-    accuse(world, tick);
-    spread(world, tick);
+    record_crash(world, tick);
+    send_broadcasts(world, tick);
 }
 
-/// A request that has run to its end crashes no targets.
+/// Removes a request that has run to its end from the suspects, here and on all peers.
 fn clear(world: &mut World, tick: &Tick, fingerprint: Fingerprint) {
     if world.tables.suspects.get(fingerprint, tick.now).is_some() {
         world.tables.suspects.clear(fingerprint, world.options.quarantine.crashes);
-        push(world, tick, Message::Cleared(fingerprint));
+        broadcast(world, tick, Message::Cleared(fingerprint));
     }
 }
 
-/// Counts runs that broke around the loss of the target against their requests.
-fn accuse(world: &mut World, tick: &mut Tick) {
+/// Records a crash for the requests whose runs broke around the loss of the target.
+fn record_crash(world: &mut World, tick: &mut Tick) {
     let state = &mut world.systems.quarantine;
     state.broken.retain(|broken| tick.now < broken.at + CRASH_WINDOW);
     state.lost_at = state.lost_at.filter(|&lost| tick.now < lost + CRASH_WINDOW);
@@ -109,23 +113,23 @@
     let tried = broken.iter().find(|broken| broken.is_trial).map(|broken| broken.fingerprint);
     let requests = broken.iter().map(|broken| broken.fingerprint).collect();
     let message = Message::Crashed { crash: world.rng.random(), requests, tried };
-    learn(world, tick, message.clone());
-    push(world, tick, message);
+    apply(world, tick, message.clone());
+    broadcast(world, tick, message);
 }
 
-fn learn(world: &mut World, tick: &mut Tick, message: Message) {
+fn apply(world: &mut World, tick: &mut Tick, message: Message) {
     match message {
         Message::Crashed { crash, requests, tried } => {
             let state = &mut world.systems.quarantine;
-            if state.counted.contains(&crash) {
+            if state.counted_crashes.contains(&crash) {
                 return;
             }
-            state.counted.push_back(crash);
-            if state.counted.len() > MAX_CRASHES {
-                state.counted.pop_front();
+            state.counted_crashes.push_back(crash);
+            if state.counted_crashes.len() > MAX_COUNTED_CRASHES {
+                state.counted_crashes.pop_front();
             }
             for fingerprint in requests {
-                count(world, tick, fingerprint, tried == Some(fingerprint));
+                count_crash(world, tick, fingerprint, tried == Some(fingerprint));
             }
         }
         Message::Cleared(fingerprint) => {
@@ -134,11 +138,11 @@
     }
 }
 
-fn count(world: &mut World, tick: &mut Tick, fingerprint: Fingerprint, is_trial: bool) {
+fn count_crash(world: &mut World, tick: &mut Tick, fingerprint: Fingerprint, is_trial: bool) {
     let options = &world.options.quarantine;
     let until = tick.now + options.memory;
-    let most = if is_trial { options.crashes } else { options.crashes.saturating_sub(1) };
-    let crashes = world.tables.suspects.record_crash(fingerprint, until, most, options.limit);
+    let max = if is_trial { options.crashes } else { options.crashes.saturating_sub(1) };
+    let crashes = world.tables.suspects.record_crash(fingerprint, until, max, options.limit);
     if crashes == options.crashes {
         let entry = Entry::new(Level::Warn, "request_quarantined")
             .with("fingerprint", format!("{:016x}", fingerprint.0))
@@ -147,37 +151,37 @@
     }
 }
 
-fn push(world: &mut World, tick: &Tick, message: Message) {
-    let push = Push { message, left: PUSHES, next: tick.now };
-    world.systems.quarantine.pushes.push(push);
+fn broadcast(world: &mut World, tick: &Tick, message: Message) {
+    let broadcast = Broadcast { message, remaining: TRANSMISSIONS, next: tick.now };
+    world.systems.quarantine.broadcasts.push(broadcast);
 }
 
-/// Sends news to all peers, a few times over.
-fn spread(world: &mut World, tick: &mut Tick) {
-    let mut pushes = std::mem::take(&mut world.systems.quarantine.pushes);
-    for push in &mut pushes {
-        if tick.now >= push.next {
-            push.left -= 1;
-            push.next = tick.now + PUSH_PERIOD;
+/// Sends the messages that are due to all peers.
+fn send_broadcasts(world: &mut World, tick: &mut Tick) {
+    let mut broadcasts = std::mem::take(&mut world.systems.quarantine.broadcasts);
+    for broadcast in &mut broadcasts {
+        if tick.now >= broadcast.next {
+            broadcast.remaining -= 1;
+            broadcast.next = tick.now + SEND_INTERVAL;
             let peers: Vec<PeerKey> = world.tables.peers.iter().map(|(key, _)| key).collect();
             for peer in peers {
-                world.send(tick, peer, push.message.clone());
+                world.send(tick, peer, broadcast.message.clone());
             }
         }
-        tick.wake(push.next);
+        tick.wake(broadcast.next);
     }
-    pushes.retain(|push| push.left > 0);
-    world.systems.quarantine.pushes = pushes;
+    broadcasts.retain(|broadcast| broadcast.remaining > 0);
+    world.systems.quarantine.broadcasts = broadcasts;
 }
 
-/// Whether a request would have to be tried alone, so that it is not repeated on another target.
+/// Whether a request may run only as a trial. Such a request is not retried on another target.
 pub(super) fn needs_trial(world: &World, now: Millis, fingerprint: Fingerprint) -> bool {
     let suspect = world.tables.suspects.get(fingerprint, now);
     suspect.is_some_and(|suspect| suspect.crashes + 1 >= world.options.quarantine.crashes)
 }
 
-/// Lets calls into the queue, except those that have crashed several targets. Of those that may
-/// have, it lets in one at a time.
+/// Moves calls to the queue, except those of quarantined requests. Calls that need a trial enter
+/// one at a time.
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     world.tables.suspects.expire(tick.now);
     if world.tables.target.trial.is_some_and(|trial| world.tables.calls.get(trial).is_none()) {
@@ -204,7 +208,7 @@
         }
         if world.tables.target.trial.is_some_and(|trial| trial != key) {
             world.tables.calls.keep(key);
-            return tick.wake(tick.now + LOOK_PERIOD);
+            return tick.wake(tick.now + TRIAL_CHECK_INTERVAL);
         }
         world.tables.target.trial = Some(key);
     }
--- a/crates/mustardpin-world/src/system/stop.rs
+++ b/crates/mustardpin-world/src/system/stop.rs
@@ -1,4 +1,5 @@
-//! Says whether the node is ready, and lets it leave without cutting off a request.
+//! Publishes the node's readiness, and drains the node before it exits, so that no request is cut
+//! off.
 
 use crate::{
     clock::Millis,
@@ -11,11 +12,11 @@
     world::{Tick, World},
 };
 
-/// What still waits for a place this long before the end of the grace time is refused, so that its
-/// caller gets an answer.
+/// Requests that still wait this long before the end of the grace time are refused, so that their
+/// callers get a response.
 const REFUSE_BEFORE_END: Millis = Millis(500);
 
-/// What the system remembers from tick to tick.
+/// State that the system keeps between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     started: Option<Millis>,
@@ -44,8 +45,8 @@
     }
 }
 
-/// Says whether the node is ready, if that has changed.
-pub(super) fn judge(world: &mut World, tick: &mut Tick) {
+/// Publishes whether the node is ready, if that has changed.
+pub(super) fn update_readiness(world: &mut World, tick: &mut Tick) {
     let started = world.systems.stop.started.unwrap_or(tick.now);
     let tables = &world.tables;
     let has_met = fleet::has_met(world) || tick.now - started >= world.options.fleet.meet_within;
@@ -68,9 +69,10 @@
     tick.commands.push(Command::Ready(ready));
 }
 
-/// Lets a leaving node go once it has finished everything and others know, or its time is up.
+/// Exits once a leaving node has waited for peers and callers to notice and has finished all calls,
+/// or once its grace time ends.
 pub(super) fn drain(world: &mut World, tick: &mut Tick) {
-    judge(world, tick);
+    update_readiness(world, tick);
     if !world.tables.leaving {
         return;
     }
@@ -80,18 +82,18 @@
     if tick.now < earliest {
         return tick.wake(earliest);
     }
-    let last_call = end - REFUSE_BEFORE_END;
-    if tick.now >= last_call {
+    let refuse_from = end - REFUSE_BEFORE_END;
+    if tick.now >= refuse_from {
         refuse_waiting(world, tick);
     }
     if world.tables.calls.is_empty() || tick.now >= end {
         tick.log(Entry::new(Level::Info, "stopped").with("calls", world.tables.calls.len()));
         return tick.commands.push(Command::Exit);
     }
-    tick.wake(if tick.now < last_call { last_call } else { end });
+    tick.wake(if tick.now < refuse_from { refuse_from } else { end });
 }
 
-/// Refuses what has not been sent anywhere.
+/// Refuses calls that have been sent neither to the target nor to a peer.
 fn refuse_waiting(world: &mut World, tick: &mut Tick) {
     let is_waiting = |stage| !matches!(stage, Stage::Running | Stage::Forwarded);
     let calls = world.tables.calls.iter();
--- a/crates/mustardpin-world/src/system/target.rs
+++ b/crates/mustardpin-world/src/system/target.rs
@@ -1,7 +1,7 @@
-//! Follows what the own target says of itself.
+//! Tracks the local target by its reports.
 //!
-//! Reports may come late and out of order, also from a process that has ended. The start of the
-//! process and the number of the report tell which one counts.
+//! Reports may arrive late and out of order, also from a process that has ended. The start time of
+//! the process and the sequence number of the report decide which report is the latest.
 
 use crate::{
     clock::Millis,
@@ -21,7 +21,7 @@
         match &tick.inbox.target[index] {
             TargetChange::Reported(report) => {
                 let report = report.clone();
-                take_report(world, tick, report);
+                apply_report(world, tick, report);
             }
             TargetChange::Deregistered { instance } => {
                 let is_own = *instance == world.tables.target.report.instance;
@@ -30,26 +30,26 @@
                     log_target(world, tick, "target_deregistered");
                 }
             }
-            TargetChange::Lost => lose(world, tick),
+            TargetChange::Lost => mark_lost(world, tick),
         }
     }
     let target = &world.tables.target;
     if target.present {
         let silent_at = target.reported + world.options.target.lost_after;
         if tick.now >= silent_at {
-            lose(world, tick);
+            mark_lost(world, tick);
         } else {
             tick.wake(silent_at);
         }
     }
     if was_open && !world.tables.target.is_open() {
-        hand_back_queue(world, tick);
+        reroute_queue(world, tick);
     }
 }
 
-fn take_report(world: &mut World, tick: &mut Tick, report: TargetReport) {
+fn apply_report(world: &mut World, tick: &mut Tick, report: TargetReport) {
     let target = &mut world.tables.target;
-    if is_late(target, &report) {
+    if is_outdated(target, &report) {
         let entry = Entry::new(Level::Info, "target_report_ignored")
             .with("instance", report.instance)
             .with("sequence", report.sequence)
@@ -57,14 +57,14 @@
             .with("known_sequence", target.report.sequence);
         return tick.log(entry);
     }
-    let is_new = is_another(target, &report);
+    let is_new = is_other_process(target, &report);
     let is_change = is_new
         || !target.present
         || target.report.draining != report.draining
         || target.report.slots != report.slots;
-    let place =
+    let endpoint =
         TargetAddress { address: report.address.clone(), instance: report.instance.clone() };
-    let moved = is_new || !target.present || target.report.address != report.address;
+    let has_moved = is_new || !target.present || target.report.address != report.address;
     target.present = true;
     target.reported = tick.now;
     target.cold_until = tick.now + report.cold;
@@ -72,16 +72,16 @@
     if is_new {
         target.health.succeed();
     }
-    if moved {
-        tick.commands.push(Command::Target(Some(place)));
+    if has_moved {
+        tick.commands.push(Command::Target(Some(endpoint)));
     }
     if is_change {
         log_target(world, tick, "target_reported");
     }
 }
 
-/// Whether a report is older than the last one that was taken in.
-fn is_late(target: &Target, report: &TargetReport) -> bool {
+/// Whether a report is older than the last one that was applied.
+fn is_outdated(target: &Target, report: &TargetReport) -> bool {
     let known = &target.report;
     if !target.present && known.sequence == 0 {
         return false;
@@ -92,8 +92,8 @@
     report.instance == known.instance && report.sequence != 0 && report.sequence <= known.sequence
 }
 
-/// Whether a report comes from another process than the last one.
-fn is_another(target: &Target, report: &TargetReport) -> bool {
+/// Whether a report comes from a different process than the last one.
+fn is_other_process(target: &Target, report: &TargetReport) -> bool {
     report.born != target.report.born || report.instance != target.report.instance
 }
 
@@ -109,7 +109,7 @@
     tick.log(entry);
 }
 
-fn lose(world: &mut World, tick: &mut Tick) {
+fn mark_lost(world: &mut World, tick: &mut Tick) {
     if !world.tables.target.present {
         return;
     }
@@ -121,8 +121,9 @@
     tick.log(entry.with("instance", instance).with("silent", silent));
 }
 
-/// Finds other places for what waits for a target that takes no more requests.
-fn hand_back_queue(world: &mut World, tick: &mut Tick) {
+/// Routes queued calls elsewhere when the target accepts no more requests. Calls from a peer are
+/// refused, so that the peer reroutes them.
+fn reroute_queue(world: &mut World, tick: &mut Tick) {
     for key in queueing::take_all(world) {
         let Some(call) = world.tables.calls.get_mut(key) else { continue };
         call.lineage.own_tried = true;
--- a/crates/mustardpin-world/src/system/validation.rs
+++ b/crates/mustardpin-world/src/system/validation.rs
@@ -1,4 +1,4 @@
-//! Checks an operator's change against the configuration it would change.
+//! Validates an operator's change against the current configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,34 +13,35 @@
     table::Tables,
 };
 
-/// The highest rate and burst of a team, in requests a second and requests.
+/// The maximum rate of a team in requests per second, and its maximum burst in requests.
 const MAX_RATE: u32 = 1_000_000;
-/// The smallest burst of a team, in requests.
+/// The minimum burst of a team, in requests.
 const MIN_BURST: u32 = 2;
-/// A burst is at least the rate divided by this, so that tokens may be held for 50 ms.
-const RATE_PER_BURST: u32 = 10;
-/// The highest weight of a team.
+/// The maximum ratio of the rate (requests per second) to the burst (requests). With it, half of
+/// the burst allows leases of 50 ms.
+const MAX_RATE_PER_BURST: u32 = 10;
+/// The maximum weight of a team, or of a service in a route.
 const MAX_WEIGHT: u32 = 1_000;
-/// The longest time limit of a route.
+/// The maximum timeout and objective of a route.
 const MAX_TIMEOUT: Millis = Millis::from_secs(3_600);
-/// The longest time for which a cut-off node may go on.
+/// The maximum time for which a cut-off node may serve requests.
 const MAX_GRACE: Millis = Millis::from_secs(86_400);
-/// The most retries that one root request may cause.
+/// The maximum number of retries that one root request may cause.
 const MAX_RETRIES: u32 = 100;
 
-/// The rows as they would stand after the change.
+/// The rows after the change, by path.
 type Rows<'a> = BTreeMap<Path, &'a Row>;
 
-/// Whether a change may be accepted as a whole.
+/// Checks whether a change may be written. One invalid row refuses the whole change.
 pub(super) fn check(tables: &Tables, proposal: &Proposal) -> Result<(), ChangeError> {
     check_paths(tables, proposal)?;
     let rows = rows_after(tables, proposal);
     for row in &proposal.rows {
         let path = row.path();
         check_name(&path)?;
-        check_tombstone(tables, &path, row)?;
+        check_withdrawal(tables, &path, row)?;
     }
-    // A removal may leave a reference behind, so all rows are checked, not just the new ones.
+    // A removal may leave a dangling reference, so all rows are checked, not only the new ones.
     for (path, row) in &rows {
         check_row(&rows, row).map_err(|problem| invalid(path, problem))?;
     }
@@ -80,8 +81,8 @@
     Ok(())
 }
 
-/// A withdrawn key stays withdrawn.
-fn check_tombstone(tables: &Tables, path: &Path, row: &Row) -> Result<(), ChangeError> {
+/// Refuses to restore a withdrawn key.
+fn check_withdrawal(tables: &Tables, path: &Path, row: &Row) -> Result<(), ChangeError> {
     let Row::Key(key) = row else { return Ok(()) };
     let known = tables.tenants.by_id(&key.id).and_then(|tenant| tables.tenants.get(tenant));
     if known.is_some_and(|known| known.withdrawn && !key.withdrawn) {
@@ -114,7 +115,7 @@
 
 fn check_fleet(fleet: &Fleet) -> Result<(), CompactString> {
     if let CutOffPolicy::Serve(grace) = fleet.cut_off {
-        check_length("cut-off grace", grace, MAX_GRACE)?;
+        check_duration("cut-off grace", grace, MAX_GRACE)?;
     }
     if fleet.retry_allowance > MAX_RETRIES {
         return Err(format_compact!("retry allowance is above {MAX_RETRIES}"));
@@ -127,15 +128,15 @@
     check_count("weight", team.weight, MAX_WEIGHT)
 }
 
-/// Tokens travel between nodes, for which a part of the burst is set aside: a burst that is too
-/// small for the rate leaves them no time.
+/// Checks a rate and a burst. Part of the burst is reserved for tokens that are leased to other
+/// nodes; with a burst too small for the rate, leases would expire before they can be used.
 fn check_rate(rate: u32, burst: u32) -> Result<(), CompactString> {
     check_count("rate", rate, MAX_RATE)?;
     check_count("burst", burst, MAX_RATE)?;
-    let least = rate.div_ceil(RATE_PER_BURST).max(MIN_BURST);
-    if burst < least {
+    let min_burst = rate.div_ceil(MAX_RATE_PER_BURST).max(MIN_BURST);
+    if burst < min_burst {
         return Err(format_compact!(
-            "burst {burst} is too small for rate {rate}: choose at least {least}"
+            "burst {burst} is too small for rate {rate}: choose at least {min_burst}"
         ));
     }
     Ok(())
@@ -152,12 +153,12 @@
         return Err("attempts is 0: give at least 1".into());
     }
     if let Some(objective) = route.objective {
-        check_length("objective", objective, MAX_TIMEOUT)?;
+        check_duration("objective", objective, MAX_TIMEOUT)?;
     }
     if !route.path_prefix.starts_with('/') {
         return Err("path prefix does not start with a slash".into());
     }
-    check_length("timeout", route.timeout, MAX_TIMEOUT)?;
+    check_duration("timeout", route.timeout, MAX_TIMEOUT)?;
     route.teams.iter().try_for_each(|team| check_reference(rows, Kind::Team, team))
 }
 
@@ -182,7 +183,7 @@
             check_reference(rows, Kind::Route, route)
         }
         Change::ServeCutOff { team, grace } => {
-            check_length("grace", *grace, MAX_GRACE)?;
+            check_duration("grace", *grace, MAX_GRACE)?;
             check_reference(rows, Kind::Team, team)
         }
     }
@@ -203,7 +204,7 @@
     Ok(())
 }
 
-fn check_length(what: &str, value: Millis, max: Millis) -> Result<(), CompactString> {
+fn check_duration(what: &str, value: Millis, max: Millis) -> Result<(), CompactString> {
     if value == Millis::ZERO || value > max {
         return Err(format_compact!("{what} is {value}: give 1 ms to {max}"));
     }
