--- a/crates/mustardpin-world/src/system/configuration.rs
+++ b/crates/mustardpin-world/src/system/configuration.rs
@@ -88,8 +88,10 @@
     world.send(tick, peer, Message::Want { after: own });
 }
 
-fn apply_reply(world: &mut World, r: &Reply) {
-    let Reply::Changes { area: Area::Configuration, whole, up_to, changes, .. } = r else { return };
+fn apply_reply(world: &mut World, reply: &Reply) {
+    let Reply::Changes { area: Area::Configuration, whole, up_to, changes, .. } = reply else {
+        return;
+    };
     match changes {
         Changes::Document(update) => world.tables.apply(update.clone()),
         Changes::Rows(rows) => {
