--- a/crates/mustardpin-world/src/system/validation.rs
+++ b/crates/mustardpin-world/src/system/validation.rs
@@ -197,16 +197,16 @@
     Ok(())
 }
 
-fn check_count(what: &str, value: u32, max: u32) -> Result<(), CompactString> {
+fn check_count(name: &str, value: u32, max: u32) -> Result<(), CompactString> {
     if value == 0 || value > max {
-        return Err(format_compact!("{what} is {value}: give 1 to {max}"));
+        return Err(format_compact!("{name} is {value}: give 1 to {max}"));
     }
     Ok(())
 }
 
-fn check_duration(what: &str, value: Millis, max: Millis) -> Result<(), CompactString> {
+fn check_duration(name: &str, value: Millis, max: Millis) -> Result<(), CompactString> {
     if value == Millis::ZERO || value > max {
-        return Err(format_compact!("{what} is {value}: give 1 ms to {max}"));
+        return Err(format_compact!("{name} is {value}: give 1 ms to {max}"));
     }
     Ok(())
 }
