--- a/crates/mustardpin-settings/src/settings.rs
+++ b/crates/mustardpin-settings/src/settings.rs
@@ -374,7 +374,7 @@
 }
 
 fn read_work(reader: &mut Reader, options: &mut Options) {
-    let Options { limit, queueing, pressure, rating, routing, quarantine, logging, .. } = options;
+    let Options { limit, queueing, shedding, rating, routing, quarantine, logging, .. } = options;
     let algorithms = [("adaptive", LimitAlgorithm::Adaptive), ("slots", LimitAlgorithm::Slots)];
     limit.algorithm = reader.choice("limit.algorithm", &algorithms);
     let mut count = |key, value: &mut u32, least, most| {
@@ -384,7 +384,7 @@
     count("limit.least", &mut limit.least, 1, 10_000);
     count("limit.most", &mut limit.most, 1, 100_000);
     count("limit.slots-percent", &mut limit.slots_percent, 1, 200);
-    count("pressure.floor-percent", &mut pressure.floor_percent, 0, 100);
+    count("pressure.floor-percent", &mut shedding.floor_percent, 0, 100);
     count("quarantine.crashes", &mut quarantine.crashes, 1, 100);
     count("routing.local-preference", &mut routing.local_preference, 0, 10_000);
     count("log.one-in", &mut logging.one_in, 0, 1_000_000);
--- a/crates/mustardpin-virtual/src/experiment/policy.rs
+++ b/crates/mustardpin-virtual/src/experiment/policy.rs
@@ -38,8 +38,8 @@
     options.limit.algorithm = LimitAlgorithm::Unlimited;
     options.queueing.discipline = Discipline::Fifo;
     options.queueing.drop_late = false;
-    options.pressure.early_refusal = false;
-    options.pressure.cancellation = false;
+    options.shedding.early_refusal = false;
+    options.shedding.cancellation = false;
     options.retry.policy = RetryPolicy::Unbounded;
 }
 
@@ -87,14 +87,14 @@
                 options.queueing.discipline = Discipline::Fifo;
             }),
             variant("without dropping late", |options| options.queueing.drop_late = false),
-            variant("without early refusal", |options| options.pressure.early_refusal = false),
+            variant("without early refusal", |options| options.shedding.early_refusal = false),
             variant("without chain allowance", |options| {
                 options.retry.policy = RetryPolicy::Ratio;
             }),
             variant("without retry control", |options| {
                 options.retry.policy = RetryPolicy::Unbounded;
             }),
-            variant("without cancellation", |options| options.pressure.cancellation = false),
+            variant("without cancellation", |options| options.shedding.cancellation = false),
         ]
     }
 }
--- a/crates/mustardpin-virtual/tests/testsuite/overload.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/overload.rs
@@ -9,7 +9,7 @@
     config::{Importance, Route, Row},
     message::{
         Message,
-        pressure::{self, Cost},
+        shedding::{self, Cost},
     },
 };
 
@@ -162,10 +162,10 @@
     fleet.run_for(Millis::from_secs(5));
     let costs = (0..ROUTES).map(|index| Cost {
         route: name(index).into(),
-        hold: Millis(5),
+        slot_time: Millis(5),
         calls: (0..ROUTES).map(|called| (name(called).into(), 0.5)).collect(),
     });
-    let message = Message::Pressure(pressure::Message::Costs(costs.collect()));
+    let message = Message::Shedding(shedding::Message::Costs(costs.collect()));
     let from = fleet.world_at(peer).identity().node();
     fleet.inject(site, Event::Peer { from, message });
     fleet.inject(site, Event::LagProbe(Millis::ZERO));
--- a/crates/mustardpin-wire/src/message.rs
+++ b/crates/mustardpin-wire/src/message.rs
@@ -45,24 +45,24 @@
 /// What a run of a route costs.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-#[allow(missing_docs, reason = "mirrors mustardpin_world::message::pressure")]
+#[allow(missing_docs, reason = "mirrors mustardpin_world::message::shedding")]
 pub struct Cost {
     pub route: CompactString,
     pub hold: u64,
     pub calls: Vec<(CompactString, f32)>,
 }
 
-impl From<message::pressure::Cost> for Cost {
-    fn from(cost: message::pressure::Cost) -> Cost {
-        let message::pressure::Cost { route, hold, calls } = cost;
-        Cost { route, hold: hold.0, calls }
+impl From<message::shedding::Cost> for Cost {
+    fn from(cost: message::shedding::Cost) -> Cost {
+        let message::shedding::Cost { route, slot_time, calls } = cost;
+        Cost { route, hold: slot_time.0, calls }
     }
 }
 
-impl From<Cost> for message::pressure::Cost {
-    fn from(cost: Cost) -> message::pressure::Cost {
+impl From<Cost> for message::shedding::Cost {
+    fn from(cost: Cost) -> message::shedding::Cost {
         let Cost { route, hold, calls } = cost;
-        message::pressure::Cost { route, hold: Millis(hold), calls }
+        message::shedding::Cost { route, slot_time: Millis(hold), calls }
     }
 }
 
@@ -75,7 +75,7 @@
             message::Message::Configuration(message) => message.into(),
             message::Message::Freshness(message) => message.into(),
             message::Message::Share(message) => message.into(),
-            message::Message::Pressure(message::pressure::Message::Costs(costs)) => {
+            message::Message::Shedding(message::shedding::Message::Costs(costs)) => {
                 let costs = costs.into_iter();
                 Message::Costs(costs.map(Cost::from).collect())
             }
@@ -199,8 +199,8 @@
                 message::share::Message::Handover { roster, team, shard, level }.into()
             }
             Message::Costs(costs) => {
-                let costs = costs.into_iter().map(message::pressure::Cost::from).collect();
-                message::pressure::Message::Costs(costs).into()
+                let costs = costs.into_iter().map(message::shedding::Cost::from).collect();
+                message::shedding::Message::Costs(costs).into()
             }
             Message::Crashed { crash, requests, tried } => {
                 let requests = requests.into_iter().map(Fingerprint).collect();
--- a/crates/mustardpin-wire/tests/testsuite/message.rs
+++ b/crates/mustardpin-wire/tests/testsuite/message.rs
@@ -4,7 +4,7 @@
 use mustardpin_world::{
     Millis,
     id::{NodeId, Revision, StoreVersion},
-    message::{self, configuration, fleet, freshness, pressure, quarantine, share},
+    message::{self, configuration, fleet, freshness, quarantine, share, shedding},
     request::Fingerprint,
     store::Announcement,
 };
@@ -20,9 +20,9 @@
         address: "127.0.0.1:7101".into(),
     };
     let draw = share::Draw { team: "garages".into(), shard: share::Shard(3), wanted: 7 };
-    let cost = pressure::Cost {
+    let cost = shedding::Cost {
         route: "book".into(),
-        hold: Millis(90),
+        slot_time: Millis(90),
         calls: vec![("look".into(), 1.5)],
     };
     vec![
@@ -51,7 +51,7 @@
             level: 1_500_000,
         }
         .into(),
-        pressure::Message::Costs(vec![cost]).into(),
+        shedding::Message::Costs(vec![cost]).into(),
         quarantine::Message::Crashed {
             crash: 9,
             requests: vec![Fingerprint(1), Fingerprint(2)],
--- a/crates/mustardpin-world/src/message.rs
+++ b/crates/mustardpin-world/src/message.rs
@@ -3,9 +3,9 @@
 pub mod configuration;
 pub mod fleet;
 pub mod freshness;
-pub mod pressure;
 pub mod quarantine;
 pub mod share;
+pub mod shedding;
 
 use derive_more::From;
 
@@ -22,7 +22,7 @@
     /// Rate tokens.
     Share(share::Message),
     /// What services cost and how much they are asked for.
-    Pressure(pressure::Message),
+    Shedding(shedding::Message),
     /// Requests that crash targets.
     Quarantine(quarantine::Message),
 }
--- a/crates/mustardpin-world/src/message/pressure.rs
+++ b/crates/mustardpin-world/src/message/shedding.rs
@@ -10,12 +10,12 @@
     /// The route's name.
     pub route: CompactString,
     /// How long a run holds its place on the target, with the calls it waits for.
-    pub hold: Millis,
+    pub slot_time: Millis,
     /// The routes that a run calls, and how often.
     pub calls: Vec<(CompactString, f32)>,
 }
 
-/// A message of the pressure system.
+/// A message of the shedding system.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
     /// What runs on the sender's target cost.
--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -15,8 +15,8 @@
     pub freshness: Freshness,
     /// Options of the limit system.
     pub limit: Limit,
-    /// Options of the pressure system.
-    pub pressure: Pressure,
+    /// Options of the shedding system.
+    pub shedding: Shedding,
     /// Options of the queueing system.
     pub queueing: Queueing,
     /// Options of the retry system.
@@ -154,9 +154,9 @@
     }
 }
 
-/// Options of the pressure system.
+/// Options of the shedding system.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pressure {
+pub struct Shedding {
     /// Whether requests are refused early when services below refuse them.
     pub early_refusal: bool,
     /// The part of what a service can do that is shared out to all importances alike when it has
@@ -166,9 +166,9 @@
     pub cancellation: bool,
 }
 
-impl Default for Pressure {
-    fn default() -> Pressure {
-        Pressure { early_refusal: true, floor_percent: 0, cancellation: true }
+impl Default for Shedding {
+    fn default() -> Shedding {
+        Shedding { early_refusal: true, floor_percent: 0, cancellation: true }
     }
 }
 
--- a/crates/mustardpin-world/src/system.rs
+++ b/crates/mustardpin-world/src/system.rs
@@ -10,7 +10,6 @@
 mod intake;
 mod limit;
 mod permission;
-mod pressure;
 mod proposal;
 mod quarantine;
 mod queueing;
@@ -20,6 +19,7 @@
 mod retry;
 mod roster;
 mod routing;
+mod shedding;
 mod stop;
 mod target;
 mod validation;
@@ -46,7 +46,7 @@
     pub(crate) fleet: fleet::State,
     pub(crate) freshness: freshness::State,
     pub(crate) limit: limit::State,
-    pub(crate) pressure: pressure::State,
+    pub(crate) shedding: shedding::State,
     pub(crate) proposal: proposal::State,
     pub(crate) quarantine: quarantine::State,
     pub(crate) queueing: queueing::State,
@@ -66,7 +66,7 @@
             fleet: fleet::State::default(),
             freshness: freshness::State::default(),
             limit: limit::State::new(&options.limit),
-            pressure: pressure::State::default(),
+            shedding: shedding::State::default(),
             proposal: proposal::State::default(),
             quarantine: quarantine::State::default(),
             queueing: queueing::State::new(&options.queueing),
@@ -110,7 +110,7 @@
     pub(crate) configuration: Vec<(NodeId, message::configuration::Message)>,
     pub(crate) freshness: Vec<(NodeId, message::freshness::Message)>,
     pub(crate) share: Vec<(NodeId, message::share::Message)>,
-    pub(crate) pressure: Vec<(NodeId, message::pressure::Message)>,
+    pub(crate) shedding: Vec<(NodeId, message::shedding::Message)>,
     pub(crate) quarantine: Vec<(NodeId, message::quarantine::Message)>,
     pub(crate) store: Vec<(store::Ticket, store::Reply)>,
     pub(crate) target: Vec<TargetChange>,
@@ -166,7 +166,7 @@
             Message::Configuration(message) => self.configuration.push((from, message)),
             Message::Freshness(message) => self.freshness.push((from, message)),
             Message::Share(message) => self.share.push((from, message)),
-            Message::Pressure(message) => self.pressure.push((from, message)),
+            Message::Shedding(message) => self.shedding.push((from, message)),
             Message::Quarantine(message) => self.quarantine.push((from, message)),
         }
     }
@@ -196,7 +196,7 @@
     registration::run(world, tick);
     limit::run(world, tick);
     ejection::run(world, tick);
-    pressure::observe(world, tick);
+    shedding::observe(world, tick);
     quarantine::observe(world, tick);
     retry::run(world, tick);
     ending::run(world, tick);
@@ -206,6 +206,6 @@
     routing::run(world, tick);
     quarantine::run(world, tick);
     queueing::run(world, tick);
-    pressure::publish(world, tick);
+    shedding::publish(world, tick);
     stop::leave(world, tick);
 }
--- a/crates/mustardpin-world/src/system/ejection.rs
+++ b/crates/mustardpin-world/src/system/ejection.rs
@@ -11,9 +11,11 @@
     let tables = &mut world.tables;
     for (_, end) in &tick.inbox.runs_ended {
         match end {
-            RunEnd::Answered { .. } | RunEnd::Declined => tables.target.health.succeed(),
-            RunEnd::NotSent | RunEnd::Misdirected => tables.target.health.unreachable(tick.now),
-            RunEnd::Broken => tables.target.health.broken(tick.now),
+            RunEnd::Answered { .. } | RunEnd::Declined => tables.target.health.record_success(),
+            RunEnd::NotSent | RunEnd::Misdirected => {
+                tables.target.health.record_unreachable(tick.now)
+            }
+            RunEnd::Broken => tables.target.health.record_broken(tick.now),
             RunEnd::Cancelled => {}
         }
     }
@@ -22,18 +24,18 @@
         let Some(peer) = call.and_then(|call| call.peer) else { continue };
         let Some(peer) = tables.peers.get_mut(peer) else { continue };
         match end {
-            ForwardEnd::NotSent => peer.health.unreachable(tick.now),
-            ForwardEnd::Broken => peer.health.broken(tick.now),
+            ForwardEnd::NotSent => peer.health.record_unreachable(tick.now),
+            ForwardEnd::Broken => peer.health.record_broken(tick.now),
             ForwardEnd::Refused(refusal) => match refusal.reason {
-                Reason::NoTarget | Reason::Leaving => peer.health.unreachable(tick.now),
-                Reason::TargetFailed => peer.health.broken(tick.now),
-                _ => peer.health.succeed(),
+                Reason::NoTarget | Reason::Leaving => peer.health.record_unreachable(tick.now),
+                Reason::TargetFailed => peer.health.record_broken(tick.now),
+                _ => peer.health.record_success(),
             },
-            ForwardEnd::Answered { .. } => peer.health.succeed(),
+            ForwardEnd::Answered { .. } => peer.health.record_success(),
             ForwardEnd::Cancelled => {}
         }
     }
     if tick.inbox.target.iter().any(|change| matches!(change, TargetChange::Lost)) {
-        tables.target.health.succeed();
+        tables.target.health.record_success();
     }
 }
--- a/crates/mustardpin-world/src/system/ending.rs
+++ b/crates/mustardpin-world/src/system/ending.rs
@@ -14,7 +14,7 @@
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for ticket in std::mem::take(&mut tick.inbox.callers_gone) {
-        if world.options.pressure.cancellation
+        if world.options.shedding.cancellation
             && let Some(call) = world.tables.calls.by_ticket(ticket)
         {
             finish::abandon(world, tick, call);
--- a/crates/mustardpin-world/src/system/finish.rs
+++ b/crates/mustardpin-world/src/system/finish.rs
@@ -47,7 +47,7 @@
 
 fn settle(world: &mut World, tick: &mut Tick, key: CallKey, call: &Call, verdict: Verdict) {
     let took = tick.now - call.arrived;
-    world.tables.latencies.request(source_of(call), end_of(call, verdict), took);
+    world.tables.latencies.record_request(source_of(call), end_of(call, verdict), took);
     if let Some(parent) = call.parent.and_then(|parent| world.tables.calls.get_mut(parent)) {
         parent.retry_allowance += call.retry_allowance;
         parent.lineage.children.retain(|child| *child != key);
@@ -122,7 +122,7 @@
 
 /// Nobody waits any more for the calls that a call has made.
 fn abandon_children(world: &mut World, tick: &mut Tick, call: &Call) {
-    if !world.options.pressure.cancellation {
+    if !world.options.shedding.cancellation {
         return;
     }
     for &child in &call.lineage.children {
--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -245,7 +245,7 @@
     set_link(world, tick, node, Link::Up);
     if let Some(peer) = world.tables.peers.get_mut(key) {
         peer.revision = revision;
-        peer.health.succeed();
+        peer.health.record_success();
     }
     let known = world.tables.peers.iter().filter(|(_, peer)| peer.link == Link::Up);
     let known = known.map(|(_, peer)| peer.announcement.clone()).collect();
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -102,7 +102,7 @@
             let (up_to, clock) = (*up_to, *clock);
             let as_of = world.systems.freshness.pace.answered(clock, sent, tick.now);
             world.systems.freshness.delay = tick.now - as_of;
-            world.tables.latencies.step(Step::Store, tick.now - as_of);
+            world.tables.latencies.record_step(Step::Store, tick.now - as_of);
             learned(world, tick, area, up_to, as_of);
             let state = &mut world.systems.freshness;
             let watch = watch_at(state, place);
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -11,7 +11,7 @@
     log::{self, Entry, Level},
     refusal::{Reason, Refusal},
     request::{CallToken, Forwarded, Nesting, Origin, Request, Verdict},
-    system::{finish, permission, pressure, resend, retry},
+    system::{finish, permission, resend, retry, shedding},
     table::{
         call::{Call, Stage},
         counter::Work,
@@ -245,7 +245,7 @@
         parent.lineage.children.push(key);
     }
     if from_target {
-        pressure::called(world, route);
+        shedding::record_call(world, route);
     }
     if tick.now >= arrival.deadline {
         let refusal = Refusal::not_run(Reason::DeadlineBeforeRun);
--- a/crates/mustardpin-world/src/system/limit.rs
+++ b/crates/mustardpin-world/src/system/limit.rs
@@ -93,7 +93,7 @@
             _ => SampleEnd::Failed,
         };
         let latency = tick.now - call.since;
-        world.tables.latencies.step(Step::Run, latency);
+        world.tables.latencies.record_step(Step::Run, latency);
         if end == SampleEnd::Served {
             let weight = if state.latency == 0.0 { 1.0 } else { LATENCY_WEIGHT };
             state.latency += (latency.0 as f64 - state.latency) * weight;
--- a/crates/mustardpin-world/src/system/queueing.rs
+++ b/crates/mustardpin-world/src/system/queueing.rs
@@ -20,11 +20,11 @@
     options::{self, Queueing},
     refusal::{Reason, Refusal},
     request::{Nesting, Run, Verdict},
-    system::{finish, permission, pressure},
+    system::{finish, permission, shedding},
     table::{
         call::{Call, Stage},
         counter::Work,
-        health::Standing,
+        health::EjectionState,
         latency::Step,
     },
     world::{Tick, World},
@@ -114,7 +114,7 @@
     for key in world.tables.calls.take(Stage::Queued) {
         let Some(call) = world.tables.calls.get(key) else { continue };
         let route = call.route;
-        pressure::came(world, route);
+        shedding::record_arrival(world, route);
         let Some(call) = world.tables.calls.get(key) else { continue };
         let entry = entry(world, key, call);
         if waits_too_long(world, tick.now, call, entry) {
@@ -220,10 +220,10 @@
     if !target.present {
         return false;
     }
-    match target.health.standing(now, target.running) {
-        Standing::Open => target.running < target.limit,
-        Standing::Probe => target.running == 0,
-        Standing::Ejected => false,
+    match target.health.ejection_state(now, target.running) {
+        EjectionState::Open => target.running < target.limit,
+        EjectionState::Probe => target.running == 0,
+        EjectionState::Ejected => false,
     }
 }
 
@@ -287,7 +287,7 @@
         repeatable: call.repeatable,
     }));
     world.systems.queueing.last_run = tick.now;
-    world.tables.latencies.step(Step::Queue, tick.now - entry.queued);
+    world.tables.latencies.record_step(Step::Queue, tick.now - entry.queued);
     let tables = &mut world.tables;
     tables.target.running += 1;
     tables.counters.work(Work::Run);
--- a/crates/mustardpin-world/src/system/retry.rs
+++ b/crates/mustardpin-world/src/system/retry.rs
@@ -203,7 +203,7 @@
         (Stage::Forwarded, Some(peer)) => call.tried.push(peer),
         _ => call.lineage.own_tried = true,
     }
-    if !routing::has_place(world, tick.now, key) || !pay(world, key, cause.price) {
+    if !routing::has_destination(world, tick.now, key) || !pay(world, key, cause.price) {
         return false;
     }
     let tables = &mut world.tables;
--- a/crates/mustardpin-world/src/system/routing.rs
+++ b/crates/mustardpin-world/src/system/routing.rs
@@ -13,11 +13,11 @@
     log::{Entry, Level},
     refusal::{Reason, Refusal},
     request::{Forward, Forwarded, Verdict},
-    system::{finish, pressure, retry},
+    system::{finish, retry, shedding},
     table::{
         call::{Call, Stage},
         counter::Work,
-        health::Standing,
+        health::EjectionState,
         peer::{Link, Peer},
     },
     world::{Tick, World},
@@ -63,7 +63,7 @@
     let is_first = !call.lineage.own_tried && call.tried.is_empty();
     if is_first {
         retry::earn(world, key);
-        if let Err(refusal) = pressure::admit(world, key) {
+        if let Err(refusal) = shedding::admit(world, key) {
             return finish::run(world, tick, key, Verdict::Refuse(refusal));
         }
     }
@@ -80,7 +80,7 @@
 }
 
 /// Whether there is a place that a call may go to.
-pub(super) fn has_place(world: &World, now: Millis, key: CallKey) -> bool {
+pub(super) fn has_destination(world: &World, now: Millis, key: CallKey) -> bool {
     world.tables.calls.get(key).is_some_and(|call| choose(world, now, call, 0).is_some())
 }
 
@@ -125,7 +125,7 @@
     if !target.is_open() || tables.leaving {
         return None;
     }
-    if target.health.standing(now, target.running) == Standing::Ejected {
+    if target.health.ejection_state(now, target.running) == EjectionState::Ejected {
         return None;
     }
     let cost = 1.0 + crowding(target.running + target.queued, target.limit);
@@ -138,7 +138,7 @@
     if peer.link != Link::Up || Some(node) == call.from || call.tried.contains(&key) {
         return None;
     }
-    if peer.health.standing(now, peer.in_flight) == Standing::Ejected {
+    if peer.health.ejection_state(now, peer.in_flight) == EjectionState::Ejected {
         return None;
     }
     let load = peer.load?;
--- a/crates/mustardpin-world/src/system/pressure.rs
+++ b/crates/mustardpin-world/src/system/shedding.rs
@@ -1,15 +1,15 @@
 //! Refuses requests at the top of call chains when services below have too much to do.
 //!
 //! A call that is refused deep in a chain wastes all the work above it, so it is better to refuse
-//! the request at its root. Three parts see to that: [`profile`] learns what a run of each route
-//! costs here and which calls it makes, and tells peers; [`gauge`] says how much is asked of the
-//! own target, and [`strain`] how far the node itself is behind; [`admission`] works out which
+//! the request at its root. Three parts see to that: [`route_cost`] learns what a run of each route
+//! costs here and which calls it makes, and tells peers; [`target_load`] says how much is asked of the
+//! own target, and [`node_lag`] how far the node itself is behind; [`admission`] works out which
 //! share of the requests at this node to let through.
 
 mod admission;
-mod gauge;
-mod profile;
-mod strain;
+mod node_lag;
+mod route_cost;
+mod target_load;
 
 use crate::{
     clock::Millis,
@@ -17,7 +17,7 @@
     id::{CallKey, RouteKey},
     refusal::Refusal,
     request::Load,
-    table::health::Standing,
+    table::health::EjectionState,
     world::{Tick, World},
 };
 
@@ -29,9 +29,9 @@
     told: Load,
     told_at: Millis,
     admission: admission::State,
-    gauge: gauge::State,
-    profile: profile::State,
-    strain: strain::State,
+    target_load: target_load::State,
+    route_cost: route_cost::State,
+    node_lag: node_lag::State,
 }
 
 /// The shortest time between two tellings of a load to all peers at once.
@@ -44,20 +44,20 @@
 
 /// Counts what has ended, and brings costs, demand and shares up to date.
 pub(super) fn observe(world: &mut World, tick: &mut Tick) {
-    profile::run(world, tick);
-    gauge::run(world, tick);
-    strain::run(world, tick);
+    route_cost::run(world, tick);
+    target_load::run(world, tick);
+    node_lag::run(world, tick);
     admission::run(world, tick);
 }
 
 /// The own target has called a route.
-pub(super) fn called(world: &mut World, route: Option<RouteKey>) {
-    profile::called(world, route);
+pub(super) fn record_call(world: &mut World, route: Option<RouteKey>) {
+    route_cost::record_call(world, route);
 }
 
 /// A call has come for the own target.
-pub(super) fn came(world: &mut World, route: Option<RouteKey>) {
-    gauge::came(world, route);
+pub(super) fn record_arrival(world: &mut World, route: Option<RouteKey>) {
+    target_load::record_arrival(world, route);
 }
 
 /// Lets a call through, or says why not.
@@ -68,14 +68,14 @@
 /// How much is asked of the own target and of the node itself, whichever is more, in thousandths of
 /// what they can do.
 fn demand(world: &World) -> u32 {
-    let state = &world.systems.pressure;
-    state.gauge.demand().max(state.strain.demand())
+    let state = &world.systems.shedding;
+    state.target_load.demand().max(state.node_lag.demand())
 }
 
 /// Tells peers how much the own target has to do, when that has changed.
 pub(super) fn publish(world: &mut World, tick: &mut Tick) {
     let (target, tables) = (&world.tables.target, &world.tables);
-    let is_ejected = target.health.standing(tick.now, 0) == Standing::Ejected;
+    let is_ejected = target.health.ejection_state(tick.now, 0) == EjectionState::Ejected;
     if is_ejected {
         tick.wake(target.health.ejected_until);
     }
@@ -87,7 +87,7 @@
         demand: demand(world),
         revision: tables.configuration.revision,
     };
-    let state = &mut world.systems.pressure;
+    let state = &mut world.systems.shedding;
     let has_changed = load.open != state.told.open || load.limit != state.told.limit;
     let urgent = has_changed || is_pressing(state.told, load);
     if urgent && !has_changed && tick.now < state.told_at + URGENT_PERIOD {
--- a/crates/mustardpin-world/src/system/pressure/admission.rs
+++ b/crates/mustardpin-world/src/system/shedding/admission.rs
@@ -14,9 +14,9 @@
     id::{CallKey, RouteKey, ServiceKey},
     log::{Entry, Level},
     refusal::{Reason, Refusal},
-    system::pressure,
+    system::shedding,
     table::{
-        demand::{Kind, Load, Offer},
+        demand::{Load, Offer, RequestClass},
         peer::Link,
         team::Teams,
     },
@@ -55,17 +55,17 @@
 /// Lets a call through, or says why not.
 pub(super) fn admit(world: &mut World, key: CallKey) -> Result<(), Refusal> {
     let Some(call) = world.tables.calls.get(key) else { return Ok(()) };
-    if !world.options.pressure.early_refusal || call.from.is_some() || call.nesting.is_nested() {
+    if !world.options.shedding.early_refusal || call.from.is_some() || call.nesting.is_nested() {
         return Ok(());
     }
     let Some(route) = call.route else { return Ok(()) };
-    let kind = Kind { rank: call.rank, team: call.team, route };
+    let kind = RequestClass { rank: call.rank, team: call.team, route };
     let demand = &mut world.tables.demand;
     // What has not been asked for lately goes as requests like it do.
-    let usual = demand.like(kind).map_or(1.0, |offer| offer.admitted);
+    let usual = demand.similar(kind).map_or(1.0, |offer| offer.admitted);
     let offer = demand.offers.entry(kind).or_insert(Offer { offered: 0.0, admitted: usual });
     offer.offered += 1.0;
-    if !world.systems.pressure.admission.is_holding || offer.admitted >= 1.0 {
+    if !world.systems.shedding.admission.is_holding || offer.admitted >= 1.0 {
         return Ok(());
     }
     if world.rng.random::<f64>() < offer.admitted {
@@ -75,14 +75,14 @@
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    if tick.now < world.systems.pressure.admission.next {
+    if tick.now < world.systems.shedding.admission.next {
         return;
     }
-    world.systems.pressure.admission.next = tick.now + PERIOD;
+    world.systems.shedding.admission.next = tick.now + PERIOD;
     decay(world);
-    let is_holding = follow_demand(world) || world.systems.pressure.strain.admitted < 1.0;
-    let was_holding = world.systems.pressure.admission.is_holding;
-    world.systems.pressure.admission.is_holding = is_holding;
+    let is_holding = follow_demand(world) || world.systems.shedding.node_lag.admitted < 1.0;
+    let was_holding = world.systems.shedding.admission.is_holding;
+    world.systems.shedding.admission.is_holding = is_holding;
     if is_holding {
         find_loads(world);
         share_out(world);
@@ -146,7 +146,7 @@
     let loads = loads.filter(|load| load.open).map(|load| (load.demand, load.limit));
     let target = &tables.target;
     let is_own = service.name == *world.identity.service() && target.is_open();
-    let own = is_own.then(|| (pressure::demand(world), target.limit));
+    let own = is_own.then(|| (shedding::demand(world), target.limit));
     let (mut asked, mut limits) = (0.0, 0.0);
     for (demand, limit) in loads.chain(own) {
         asked += f64::from(demand) / 1_000.0 * f64::from(limit);
@@ -179,7 +179,7 @@
             let weights: f64 = row.parts.iter().map(|part| f64::from(part.weight)).sum();
             for part in &row.parts {
                 let share = f64::from(part.weight) / weights.max(1.0);
-                *load.entry(part.service).or_default() += cost.hold * runs * share;
+                *load.entry(part.service).or_default() += cost.slot_time * runs * share;
             }
             for (name, calls) in &cost.calls {
                 if let Some(called) = tables.routes.by_name(name) {
@@ -197,7 +197,7 @@
 /// Work that requests of one kind ask a service for.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Asked {
-    kind: Kind,
+    kind: RequestClass,
     work: f64,
 }
 
@@ -209,9 +209,9 @@
         .filter(|(_, service)| service.admitted < 1.0)
         .map(|(key, service)| (key, service.admitted))
         .collect();
-    let own_share = world.systems.pressure.strain.admitted;
+    let own_share = world.systems.shedding.node_lag.admitted;
     let teams = &world.tables.teams;
-    let floor = f64::from(world.options.pressure.floor_percent) / 100.0;
+    let floor = f64::from(world.options.shedding.floor_percent) / 100.0;
     let demand = &mut world.tables.demand;
     for offer in demand.offers.values_mut() {
         offer.admitted = 1.0;
@@ -250,7 +250,7 @@
 /// Splits a share of all work between kinds of request: those of each importance have a part of
 /// their own, and the rest goes to the most important first. Teams share by max-min. `asked` is in
 /// the order of importance, the least first, and among equals by team.
-fn shares(asked: &[Asked], share: f64, floor: f64, teams: &Teams) -> Vec<(Kind, f64)> {
+fn shares(asked: &[Asked], share: f64, floor: f64, teams: &Teams) -> Vec<(RequestClass, f64)> {
     let total: f64 = asked.iter().map(|asked| asked.work).sum();
     let least = share * floor;
     let mut left = total * (share - least);
--- a/crates/mustardpin-world/src/system/pressure/strain.rs
+++ b/crates/mustardpin-world/src/system/shedding/node_lag.rs
@@ -26,7 +26,7 @@
 /// What the node can do, in the same unit.
 const WHOLE: u64 = 1_000;
 
-/// What the strain remembers from tick to tick.
+/// What the node_lag remembers from tick to tick.
 #[derive(Debug)]
 pub(super) struct State {
     lag: Millis,
@@ -53,7 +53,7 @@
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for due in std::mem::take(&mut tick.inbox.lag_probes) {
         let lag = tick.now - due;
-        let state = &mut world.systems.pressure.strain;
+        let state = &mut world.systems.shedding.node_lag;
         let before = state.admitted;
         state.lag = lag;
         if lag >= BEHIND {
--- a/crates/mustardpin-world/src/system/pressure/profile.rs
+++ b/crates/mustardpin-world/src/system/shedding/route_cost.rs
@@ -12,7 +12,7 @@
 use crate::{
     clock::Millis,
     id::RouteKey,
-    message::pressure::{self, Message},
+    message::shedding::{self, Message},
     request::RunEnd,
     table::{demand::Cost, peer::Link},
     world::{Tick, World},
@@ -39,12 +39,12 @@
 #[derive(Debug, Default)]
 struct Runs {
     name: CompactString,
-    hold: f64,
+    slot_time: f64,
     /// Runs that ended in this period.
     ended: f64,
 }
 
-/// What the profile remembers from tick to tick.
+/// What the route_cost remembers from tick to tick.
 #[derive(Debug, Default)]
 pub(super) struct State {
     next: Millis,
@@ -116,10 +116,10 @@
         }
     }
 
-    fn costs(&self) -> Vec<pressure::Cost> {
-        let cost = |(index, runs): (usize, &Runs)| pressure::Cost {
+    fn costs(&self) -> Vec<shedding::Cost> {
+        let cost = |(index, runs): (usize, &Runs)| shedding::Cost {
             route: runs.name.clone(),
-            hold: Millis(runs.hold as u64),
+            slot_time: Millis(runs.slot_time as u64),
             calls: self
                 .calls
                 .iter()
@@ -127,31 +127,31 @@
                 .map(|(name, calls)| (name.clone(), calls[index] as f32))
                 .collect(),
         };
-        self.runs.iter().enumerate().filter(|(_, runs)| runs.hold > 0.0).map(cost).collect()
+        self.runs.iter().enumerate().filter(|(_, runs)| runs.slot_time > 0.0).map(cost).collect()
     }
 }
 
 /// How long a run of a route holds its place on the own target, or elsewhere if it did not run
 /// here.
-pub(super) fn hold(world: &World, route: RouteKey) -> Option<Millis> {
+pub(super) fn slot_time(world: &World, route: RouteKey) -> Option<Millis> {
     let name = &world.tables.routes.get(route)?.config.name;
-    let runs = world.systems.pressure.profile.runs.iter();
-    let here = runs.filter(|runs| runs.hold > 0.0).find(|runs| runs.name == *name);
+    let runs = world.systems.shedding.route_cost.runs.iter();
+    let here = runs.filter(|runs| runs.slot_time > 0.0).find(|runs| runs.name == *name);
     match here {
-        Some(runs) => Some(Millis(runs.hold as u64)),
-        None => world.tables.demand.hold(name),
+        Some(runs) => Some(Millis(runs.slot_time as u64)),
+        None => world.tables.demand.slot_time(name),
     }
 }
 
 /// The own target has called a route.
-pub(super) fn called(world: &mut World, route: Option<RouteKey>) {
+pub(super) fn record_call(world: &mut World, route: Option<RouteKey>) {
     let Some(route) = route.and_then(|route| world.tables.routes.get(route)) else { return };
-    let called = &mut world.systems.pressure.profile.called;
+    let called = &mut world.systems.shedding.route_cost.called;
     *called.entry(route.config.name.clone()).or_default() += 1.0;
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    for (_, Message::Costs(costs)) in std::mem::take(&mut tick.inbox.pressure) {
+    for (_, Message::Costs(costs)) in std::mem::take(&mut tick.inbox.shedding) {
         for cost in costs {
             believe(world, cost, TOLD_WEIGHT);
         }
@@ -163,14 +163,14 @@
         let route = call.route.and_then(|route| world.tables.routes.get(route));
         let Some(route) = route else { continue };
         let held = (tick.now - call.since).0 as f64;
-        let state = &mut world.systems.pressure.profile;
+        let state = &mut world.systems.shedding.route_cost;
         let Some(index) = state.index(&route.config.name) else { continue };
         let runs = &mut state.runs[index];
-        let weight = if runs.hold == 0.0 { 1.0 } else { HOLD_WEIGHT };
-        runs.hold += (held - runs.hold) * weight;
+        let weight = if runs.slot_time == 0.0 { 1.0 } else { HOLD_WEIGHT };
+        runs.slot_time += (held - runs.slot_time) * weight;
         runs.ended += 1.0;
     }
-    let state = &mut world.systems.pressure.profile;
+    let state = &mut world.systems.shedding.route_cost;
     if tick.now >= state.next {
         state.next = tick.now + PERIOD;
         state.learn();
@@ -183,7 +183,7 @@
 
 /// Tells peers what runs cost here, and takes it in as they do.
 fn tell(world: &mut World, tick: &mut Tick) {
-    let costs = world.systems.pressure.profile.costs();
+    let costs = world.systems.shedding.route_cost.costs();
     if costs.is_empty() {
         return;
     }
@@ -198,12 +198,12 @@
 }
 
 /// Takes in what a node says that runs of a route cost.
-fn believe(world: &mut World, told: pressure::Cost, weight: f64) {
+fn believe(world: &mut World, told: shedding::Cost, weight: f64) {
     let costs = &mut world.tables.demand.costs;
     let is_first = !costs.contains_key(&told.route);
     let weight = if is_first { 1.0 } else { weight };
     let cost: &mut Cost = costs.entry(told.route).or_default();
-    cost.hold += (told.hold.0 as f64 - cost.hold) * weight;
+    cost.slot_time += (told.slot_time.0 as f64 - cost.slot_time) * weight;
     for calls in cost.calls.values_mut() {
         *calls *= 1.0 - weight;
     }
--- a/crates/mustardpin-world/src/system/pressure/gauge.rs
+++ b/crates/mustardpin-world/src/system/shedding/target_load.rs
@@ -6,7 +6,7 @@
 use crate::{
     clock::Millis,
     id::RouteKey,
-    system::pressure::profile,
+    system::shedding::route_cost,
     world::{Tick, World},
 };
 
@@ -20,7 +20,7 @@
 /// The part of the limit from which on the target counts as full.
 const FULL: f64 = 0.8;
 
-/// What the gauge remembers from tick to tick.
+/// What the target_load remembers from tick to tick.
 #[derive(Debug, Default)]
 pub(super) struct State {
     next: Millis,
@@ -38,14 +38,14 @@
 }
 
 /// A call has come for the own target.
-pub(super) fn came(world: &mut World, route: Option<RouteKey>) {
-    let hold = route.and_then(|route| profile::hold(world, route));
-    let hold = hold.unwrap_or(world.tables.target.latency);
-    world.systems.pressure.gauge.work += hold.0 as f64;
+pub(super) fn record_arrival(world: &mut World, route: Option<RouteKey>) {
+    let slot_time = route.and_then(|route| route_cost::slot_time(world, route));
+    let slot_time = slot_time.unwrap_or(world.tables.target.latency);
+    world.systems.shedding.target_load.work += slot_time.0 as f64;
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    let state = &mut world.systems.pressure.gauge;
+    let state = &mut world.systems.shedding.target_load;
     if tick.now < state.next {
         return tick.wake(state.next);
     }
--- a/crates/mustardpin-world/src/system/target.rs
+++ b/crates/mustardpin-world/src/system/target.rs
@@ -35,7 +35,7 @@
     }
     let target = &world.tables.target;
     if target.present {
-        let silent_at = target.reported + world.options.target.lost_after;
+        let silent_at = target.reported_at + world.options.target.lost_after;
         if tick.now >= silent_at {
             lose(world, tick);
         } else {
@@ -66,11 +66,11 @@
         TargetAddress { address: report.address.clone(), instance: report.instance.clone() };
     let moved = is_new || !target.present || target.report.address != report.address;
     target.present = true;
-    target.reported = tick.now;
+    target.reported_at = tick.now;
     target.cold_until = tick.now + report.cold;
     target.report = report;
     if is_new {
-        target.health.succeed();
+        target.health.record_success();
     }
     if moved {
         tick.commands.push(Command::Target(Some(place)));
@@ -115,7 +115,7 @@
     }
     world.tables.target.present = false;
     tick.commands.push(Command::Target(None));
-    let silent = tick.now - world.tables.target.reported;
+    let silent = tick.now - world.tables.target.reported_at;
     let instance = world.tables.target.report.instance.clone();
     let entry = Entry::new(Level::Warn, "target_lost");
     tick.log(entry.with("instance", instance).with("silent", silent));
--- a/crates/mustardpin-world/src/table/demand.rs
+++ b/crates/mustardpin-world/src/table/demand.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Cost {
     /// How long a run holds its place, in milliseconds, smoothed over what nodes say.
-    pub hold: f64,
+    pub slot_time: f64,
     /// The routes that a run calls, and how often, smoothed likewise.
     pub calls: BTreeMap<CompactString, f64>,
 }
@@ -26,7 +26,7 @@
 
 /// Requests at the top of call chains that are let through alike. In the order of importance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Kind {
+pub struct RequestClass {
     /// How much they matter.
     pub rank: Rank,
     /// The team that they run for.
@@ -52,12 +52,12 @@
     /// What requests at the top of call chains cost, with all the calls below them.
     pub loads: SecondaryMap<RouteKey, Load>,
     /// What is asked for at the top of call chains at this node.
-    pub offers: BTreeMap<Kind, Offer>,
+    pub offers: BTreeMap<RequestClass, Offer>,
 }
 
 impl Demand {
     /// Requests of the same importance for the same route, of this team or another.
-    pub fn like(&self, kind: Kind) -> Option<&Offer> {
+    pub fn similar(&self, kind: RequestClass) -> Option<&Offer> {
         if let Some(offer) = self.offers.get(&kind) {
             return Some(offer);
         }
@@ -66,7 +66,7 @@
     }
 
     /// The time that a run of a route holds its place, if that is known.
-    pub fn hold(&self, route: &str) -> Option<Millis> {
-        self.costs.get(route).map(|cost| Millis(cost.hold as u64))
+    pub fn slot_time(&self, route: &str) -> Option<Millis> {
+        self.costs.get(route).map(|cost| Millis(cost.slot_time as u64))
     }
 }
--- a/crates/mustardpin-world/src/table/health.rs
+++ b/crates/mustardpin-world/src/table/health.rs
@@ -15,7 +15,7 @@
 
 /// Whether requests may be sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Standing {
+pub enum EjectionState {
     /// As many as it has room for.
     #[default]
     Open,
@@ -38,26 +38,26 @@
     /// Whether requests may be sent now, given how many are on their way already.
     ///
     /// ```
-    /// use mustardpin_world::{Millis, table::health::{Health, Standing}};
+    /// use mustardpin_world::{Millis, table::health::{Health, EjectionState}};
     ///
     /// let mut health = Health::default();
     /// for _ in 0..3 {
-    ///     health.unreachable(Millis(0));
+    ///     health.record_unreachable(Millis(0));
     /// }
-    /// assert_eq!(health.standing(Millis(10), 0), Standing::Ejected);
-    /// assert_eq!(health.standing(Millis(500), 0), Standing::Probe);
-    /// assert_eq!(health.standing(Millis(500), 1), Standing::Ejected);
-    /// health.succeed();
-    /// assert_eq!(health.standing(Millis(500), 1), Standing::Open);
+    /// assert_eq!(health.ejection_state(Millis(10), 0), EjectionState::Ejected);
+    /// assert_eq!(health.ejection_state(Millis(500), 0), EjectionState::Probe);
+    /// assert_eq!(health.ejection_state(Millis(500), 1), EjectionState::Ejected);
+    /// health.record_success();
+    /// assert_eq!(health.ejection_state(Millis(500), 1), EjectionState::Open);
     /// ```
-    pub fn standing(&self, now: Millis, in_flight: u32) -> Standing {
+    pub fn ejection_state(&self, now: Millis, in_flight: u32) -> EjectionState {
         if self.failures < EJECT_AFTER {
-            return Standing::Open;
+            return EjectionState::Open;
         }
         if now < self.ejected_until || in_flight > 0 {
-            return Standing::Ejected;
+            return EjectionState::Ejected;
         }
-        Standing::Probe
+        EjectionState::Probe
     }
 
     /// Whether the target was ejected and has not answered since.
@@ -66,17 +66,17 @@
     }
 
     /// Takes a success in: the target is open again.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Health::default();
     }
 
     /// The target could not be reached. Enough failures in a row eject it.
-    pub fn unreachable(&mut self, now: Millis) {
+    pub fn record_unreachable(&mut self, now: Millis) {
         self.fail(now, UNREACHABLE_POINTS);
     }
 
     /// An answer of the target broke off. Enough failures in a row eject it.
-    pub fn broken(&mut self, now: Millis) {
+    pub fn record_broken(&mut self, now: Millis) {
         self.fail(now, BROKEN_POINTS);
     }
 
--- a/crates/mustardpin-world/src/table/latency.rs
+++ b/crates/mustardpin-world/src/table/latency.rs
@@ -124,12 +124,12 @@
 
 impl Latencies {
     /// A request has ended.
-    pub fn request(&mut self, source: Source, end: End, took: Millis) {
+    pub fn record_request(&mut self, source: Source, end: End, took: Millis) {
         self.requests[source as usize][end as usize].observe(took);
     }
 
     /// A step has ended.
-    pub fn step(&mut self, step: Step, took: Millis) {
+    pub fn record_step(&mut self, step: Step, took: Millis) {
         self.steps[step as usize].observe(took);
     }
 
--- a/crates/mustardpin-world/src/table/target.rs
+++ b/crates/mustardpin-world/src/table/target.rs
@@ -10,7 +10,7 @@
     /// What it last said of itself. The load is a hint: it may lag or mislead.
     pub report: TargetReport,
     /// When it said so.
-    pub reported: Millis,
+    pub reported_at: Millis,
     /// Until when it is slower than usual after its start.
     pub cold_until: Millis,
     /// Requests running on it, by this node's own count.
