--- a/crates/mustardpin-world/src/system/shedding.rs
+++ b/crates/mustardpin-world/src/system/shedding.rs
@@ -1,10 +1,10 @@
-//! Refuses requests at the top of call chains when services below have too much to do.
+//! Refuses requests at the root of call chains when services below them are overloaded.
 //!
 //! A call that is refused deep in a chain wastes all the work above it, so it is better to refuse
-//! the request at its root. Three parts see to that: [`route_cost`] learns what a run of each route
-//! costs here and which calls it makes, and tells peers; [`target_load`] says how much is asked of the
-//! own target, and [`node_lag`] how far the node itself is behind; [`admission`] works out which
-//! share of the requests at this node to let through.
+//! the request at its root. [`route_cost`] learns what a run of each route costs here and which
+//! calls it makes, and sends that to peers. [`target_load`] measures the demand on the local
+//! target, and [`node_lag`] how far the node itself lags. From these, [`admission`] computes the
+//! fraction of the root requests at this node to admit.
 
 mod admission;
 mod node_lag;
@@ -21,28 +21,29 @@
     world::{Tick, World},
 };
 
-/// What the system remembers from tick to tick.
+/// The state of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
+    /// The load that is attached to responses to peers.
     published: Load,
-    /// What all peers were last told at once, and when.
-    told: Load,
-    told_at: Millis,
+    /// The load that was last sent to all peers at once.
+    broadcast: Load,
+    broadcast_at: Millis,
     admission: admission::State,
     target_load: target_load::State,
     route_cost: route_cost::State,
     node_lag: node_lag::State,
 }
 
-/// The shortest time between two tellings of a load to all peers at once.
-const URGENT_PERIOD: Millis = Millis(200);
-/// From this demand on, in thousandths, all peers are told when it changes: they hold requests back
-/// by it, and a peer that sends none hears nothing with the answers.
-const URGENT_DEMAND: u32 = 850;
-/// The least change of demand, in thousandths, that all peers are told of.
-const URGENT_CHANGE: u32 = 50;
+/// The minimum time between two broadcasts of a changed demand to all peers.
+const MIN_BROADCAST_INTERVAL: Millis = Millis(200);
+/// From this demand on, in thousandths, changes are broadcast to all peers: they shed requests by
+/// it, and a peer that sends this node no requests gets no load with the responses.
+const BROADCAST_DEMAND: u32 = 850;
+/// The minimum change of demand, in thousandths, that is broadcast.
+const MIN_BROADCAST_CHANGE: u32 = 50;
 
-/// Counts what has ended, and brings costs, demand and shares up to date.
+/// Updates route costs, demand and the admitted fractions from the events of this tick.
 pub(super) fn observe(world: &mut World, tick: &mut Tick) {
     route_cost::run(world, tick);
     target_load::run(world, tick);
@@ -50,29 +51,29 @@
     admission::run(world, tick);
 }
 
-/// The own target has called a route.
+/// Counts a call that the local target made to a route.
 pub(super) fn record_call(world: &mut World, route: Option<RouteKey>) {
     route_cost::record_call(world, route);
 }
 
-/// A call has come for the own target.
+/// Counts a call that arrived for the local target.
 pub(super) fn record_arrival(world: &mut World, route: Option<RouteKey>) {
     target_load::record_arrival(world, route);
 }
 
-/// Lets a call through, or says why not.
+/// Admits a call, or returns the refusal to send to its caller.
 pub(super) fn admit(world: &mut World, key: CallKey) -> Result<(), Refusal> {
     admission::admit(world, key)
 }
 
-/// How much is asked of the own target and of the node itself, whichever is more, in thousandths of
-/// what they can do.
+/// The demand on the local target or on the node itself, whichever is higher, in thousandths of
+/// capacity.
 fn demand(world: &World) -> u32 {
     let state = &world.systems.shedding;
     state.target_load.demand().max(state.node_lag.demand())
 }
 
-/// Tells peers how much the own target has to do, when that has changed.
+/// Publishes the load of the local target to peers when it has changed significantly.
 pub(super) fn publish(world: &mut World, tick: &mut Tick) {
     let (target, tables) = (&world.tables.target, &world.tables);
     let is_ejected = target.health.ejection_state(tick.now, 0) == EjectionState::Ejected;
@@ -88,34 +89,34 @@
         revision: tables.configuration.revision,
     };
     let state = &mut world.systems.shedding;
-    let has_changed = load.open != state.told.open || load.limit != state.told.limit;
-    let urgent = has_changed || is_pressing(state.told, load);
-    if urgent && !has_changed && tick.now < state.told_at + URGENT_PERIOD {
-        return tick.wake(state.told_at + URGENT_PERIOD);
+    let has_changed = load.open != state.broadcast.open || load.limit != state.broadcast.limit;
+    let urgent = has_changed || is_demand_change_urgent(state.broadcast, load);
+    if urgent && !has_changed && tick.now < state.broadcast_at + MIN_BROADCAST_INTERVAL {
+        return tick.wake(state.broadcast_at + MIN_BROADCAST_INTERVAL);
     }
-    if !urgent && !is_news(state.published, load) {
+    if !urgent && !is_significant_change(state.published, load) {
         return;
     }
     if urgent {
-        state.told = load;
-        state.told_at = tick.now;
+        state.broadcast = load;
+        state.broadcast_at = tick.now;
     }
     state.published = load;
     tick.commands.push(Command::Publish { load, urgent });
 }
 
-fn is_pressing(told: Load, load: Load) -> bool {
-    load.demand.max(told.demand) >= URGENT_DEMAND
-        && load.demand.abs_diff(told.demand) >= URGENT_CHANGE
+fn is_demand_change_urgent(broadcast: Load, load: Load) -> bool {
+    load.demand.max(broadcast.demand) >= BROADCAST_DEMAND
+        && load.demand.abs_diff(broadcast.demand) >= MIN_BROADCAST_CHANGE
 }
 
-fn is_news(old: Load, new: Load) -> bool {
-    /// Loads that differ by less than this part of the limit count as the same.
-    const GRAIN: u32 = 32;
+fn is_significant_change(old: Load, new: Load) -> bool {
+    /// Loads that differ by less than the limit divided by this count as the same.
+    const CHANGE_DIVISOR: u32 = 32;
 
-    let grain = new.limit / GRAIN;
-    let present = |load: Load| load.running + load.queued;
-    present(old).abs_diff(present(new)) > grain
+    let min_change = new.limit / CHANGE_DIVISOR;
+    let pending = |load: Load| load.running + load.queued;
+    pending(old).abs_diff(pending(new)) > min_change
         || old.revision != new.revision
-        || old.demand.abs_diff(new.demand) > 1_000 / GRAIN
+        || old.demand.abs_diff(new.demand) > 1_000 / CHANGE_DIVISOR
 }
--- a/crates/mustardpin-world/src/system/shedding/node_lag.rs
+++ b/crates/mustardpin-world/src/system/shedding/node_lag.rs
@@ -1,9 +1,9 @@
-//! How far the node itself is behind with its work.
+//! How far the node itself lags behind with its work.
 //!
-//! The traffic side sends lag probes that are due at fixed times. How late one is taken in shows
-//! what waits on all threads before it, whatever it is that takes the processor's time. A node that
-//! falls behind works on requests whose callers have gone, so it lets fewer requests in, and tells
-//! its peers that more is asked of it than it can do.
+//! The traffic side sends lag probes that are due at fixed times. The delay until a probe is
+//! processed covers the work queued before it on all threads, whatever uses the processor. A node
+//! that lags works on requests whose callers have gone, so it admits fewer requests, and reports a
+//! demand above its capacity to its peers.
 
 use crate::{
     clock::Millis,
@@ -11,26 +11,27 @@
     world::{Tick, World},
 };
 
-/// A node that is this far behind lets fewer requests in.
-const BEHIND: Millis = Millis(100);
-/// A node that is no further behind than this lets more in.
-const IN_TIME: Millis = Millis(40);
-/// What the share is multiplied by with each late lag probe.
-const FALL: f64 = 0.85;
-/// What the share grows by with each lag probe in time.
-const RISE: f64 = 0.03;
-/// The share never falls below this.
-const LEAST_SHARE: f64 = 0.1;
-/// The demand that peers are told of at most, in thousandths of what the node can do.
-const MOST_DEMAND: u64 = 2_000;
-/// What the node can do, in the same unit.
-const WHOLE: u64 = 1_000;
+/// From this lag on, the node admits fewer requests.
+const HIGH_LAG: Millis = Millis(100);
+/// Up to this lag, the node admits more requests again.
+const LOW_LAG: Millis = Millis(40);
+/// The admitted fraction is multiplied by this for each late lag probe.
+const DECREASE_FACTOR: f64 = 0.85;
+/// The admitted fraction grows by this for each lag probe in time.
+const INCREASE_STEP: f64 = 0.03;
+/// The lower bound of the admitted fraction.
+const MIN_ADMITTED: f64 = 0.1;
+/// The highest demand that is reported to peers, in thousandths of the node's capacity.
+const MAX_DEMAND: u64 = 2_000;
+/// The node's capacity, in the same unit.
+const CAPACITY: u64 = 1_000;
 
-/// What the node_lag remembers from tick to tick.
+/// The lag between ticks.
 #[derive(Debug)]
 pub(super) struct State {
+    /// The lag that the last probe measured.
     lag: Millis,
-    /// The share of requests at the top of call chains that is let in.
+    /// The fraction of root requests that is admitted, from [`MIN_ADMITTED`] to 1.
     pub(super) admitted: f64,
 }
 
@@ -41,12 +42,12 @@
 }
 
 impl State {
-    /// The demand for the node's own work, in thousandths of what it can do; zero if it keeps up.
+    /// The demand on the node itself, in thousandths of its capacity; zero if it does not lag.
     pub(super) fn demand(&self) -> u32 {
-        if self.admitted >= 1.0 || self.lag < BEHIND {
+        if self.admitted >= 1.0 || self.lag < HIGH_LAG {
             return 0;
         }
-        (self.lag.0 * WHOLE / BEHIND.0).min(MOST_DEMAND) as u32
+        (self.lag.0 * CAPACITY / HIGH_LAG.0).min(MAX_DEMAND) as u32
     }
 }
 
@@ -56,15 +57,15 @@
         let state = &mut world.systems.shedding.node_lag;
         let before = state.admitted;
         state.lag = lag;
-        if lag >= BEHIND {
-            state.admitted = (state.admitted * FALL).max(LEAST_SHARE);
-        } else if lag <= IN_TIME {
-            state.admitted = (state.admitted + RISE).min(1.0);
+        if lag >= HIGH_LAG {
+            state.admitted = (state.admitted * DECREASE_FACTOR).max(MIN_ADMITTED);
+        } else if lag <= LOW_LAG {
+            state.admitted = (state.admitted + INCREASE_STEP).min(1.0);
         }
         let is_change = (before < 1.0) != (state.admitted < 1.0);
         if is_change {
-            let is_behind = state.admitted < 1.0;
-            let entry = Entry::new(Level::Warn, "behind").with("on", is_behind).with("lag", lag);
+            let is_lagging = state.admitted < 1.0;
+            let entry = Entry::new(Level::Warn, "behind").with("on", is_lagging).with("lag", lag);
             tick.log(entry);
         }
     }
--- a/crates/mustardpin-world/src/system/shedding/route_cost.rs
+++ b/crates/mustardpin-world/src/system/shedding/route_cost.rs
@@ -1,9 +1,9 @@
-//! Learns what a run of each route costs on the own target, and which calls it makes.
+//! Learns what a run of each route costs on the local target, and which calls it makes.
 //!
-//! A target's calls do not always say which request they belong to. Over short periods the calls to
-//! each route are explained by the runs of each route in the same period, by recursive least
-//! squares: with two routes of which only one calls, the periods differ in their mix, and that tells
-//! them apart.
+//! A target's calls do not always carry the id of the request that they belong to. Recursive least
+//! squares therefore fits the calls to each route in a short interval to the runs of each route in
+//! the same interval. If only one of two routes makes calls, intervals with a different mix of runs
+//! show which one it is.
 
 use std::collections::BTreeMap;
 
@@ -18,59 +18,63 @@
     world::{Tick, World},
 };
 
-/// The time between two looks at runs and calls.
-const PERIOD: Millis = Millis(200);
-/// The time between two tellings of costs to peers.
-const TELL_PERIOD: Millis = Millis(1_000);
-/// How much of its weight a period keeps for the next one.
-const FORGETTING: f64 = 0.97;
-/// How uncertain the number of calls of a route is at first.
-const FIRST_VARIANCE: f64 = 10.0;
-/// The weight of a new sample in the time that a run holds its place.
-const HOLD_WEIGHT: f64 = 0.15;
-/// The weight of what a peer says in what is believed.
-const TOLD_WEIGHT: f64 = 0.3;
-/// Fewer calls for each run than this are noise.
-const LEAST_CALLS: f64 = 0.05;
-/// Routes beyond this number are not told apart.
-const MOST_ROUTES: usize = 16;
+/// The interval in which runs and calls are counted for one update of the estimates.
+const UPDATE_INTERVAL: Millis = Millis(200);
+/// The time between two messages with costs to peers.
+const SEND_INTERVAL: Millis = Millis(1_000);
+/// The forgetting factor: the weight of past intervals is multiplied by this at each update.
+const FORGETTING_FACTOR: f64 = 0.97;
+/// The variance of the estimated calls of a route before its first run.
+const INITIAL_VARIANCE: f64 = 10.0;
+/// The weight of a new sample in the mean slot time of a route.
+const SLOT_TIME_WEIGHT: f64 = 0.15;
+/// The weight of a node's report in the cost of a route.
+const REPORT_WEIGHT: f64 = 0.3;
+/// Fewer calls per run than this are noise.
+const MIN_CALLS_PER_RUN: f64 = 0.05;
+/// The maximum number of routes whose runs are counted. The calls of further routes are attributed
+/// to these.
+const MAX_ROUTES: usize = 16;
 
-/// What is known of the runs of one route here.
+/// The runs of one route on the local target.
 #[derive(Debug, Default)]
-struct Runs {
+struct RouteRuns {
+    /// The route's name.
     name: CompactString,
+    /// The smoothed slot time of a run, in milliseconds; zero before the first run.
     slot_time: f64,
-    /// Runs that ended in this period.
+    /// Runs that ended in this interval.
     ended: f64,
 }
 
-/// What the route_cost remembers from tick to tick.
+/// The estimates between ticks.
 #[derive(Debug, Default)]
 pub(super) struct State {
-    next: Millis,
-    next_tell: Millis,
-    runs: Vec<Runs>,
-    /// Calls in this period, by the name of the route called.
+    next_update: Millis,
+    next_send: Millis,
+    runs: Vec<RouteRuns>,
+    /// Calls in this interval, by the name of the called route.
     called: BTreeMap<CompactString, f64>,
-    /// How often a run of each route calls each route.
+    /// The estimated calls per run: by the name of the called route, one number for each of `runs`.
     calls: BTreeMap<CompactString, Vec<f64>>,
-    /// The covariance of the estimates, one row for each route that runs here.
+    /// The covariance of the estimates, one row for each of `runs`.
     covariance: Vec<Vec<f64>>,
 }
 
 impl State {
+    /// The index of a route in `runs`. Adds the route if there is room.
     fn index(&mut self, name: &CompactString) -> Option<usize> {
         let found = self.runs.iter().position(|runs| runs.name == *name);
-        if found.is_some() || self.runs.len() >= MOST_ROUTES {
+        if found.is_some() || self.runs.len() >= MAX_ROUTES {
             return found;
         }
-        self.runs.push(Runs { name: name.clone(), ..Runs::default() });
+        self.runs.push(RouteRuns { name: name.clone(), ..RouteRuns::default() });
         let count = self.runs.len();
         for row in &mut self.covariance {
             row.push(0.0);
         }
         let mut row = vec![0.0; count];
-        row[count - 1] = FIRST_VARIANCE;
+        row[count - 1] = INITIAL_VARIANCE;
         self.covariance.push(row);
         for calls in self.calls.values_mut() {
             calls.push(0.0);
@@ -78,8 +82,8 @@
         Some(count - 1)
     }
 
-    /// Explains the calls of a period by its runs.
-    fn learn(&mut self) {
+    /// Updates the estimates with the runs and calls of one interval, and clears the counts.
+    fn update_estimates(&mut self) {
         let runs: Vec<f64> = self.runs.iter().map(|runs| runs.ended).collect();
         let called = std::mem::take(&mut self.called);
         for runs in &mut self.runs {
@@ -94,7 +98,8 @@
             .iter()
             .map(|row| row.iter().zip(&runs).map(|(value, runs)| value * runs).sum())
             .collect();
-        // Counts vary by about their size, so busy periods weigh no more than quiet ones.
+        // The variance of a count is about the count itself, so busy intervals weigh no more than
+        // idle ones.
         let noise = total.max(1.0);
         let scale: f64 =
             noise + spread.iter().zip(&runs).map(|(value, runs)| value * runs).sum::<f64>();
@@ -111,19 +116,19 @@
         }
         for (row, gain) in self.covariance.iter_mut().zip(&gain) {
             for (value, spread) in row.iter_mut().zip(&spread) {
-                *value = ((*value - gain * spread) / FORGETTING).clamp(-1e3, 1e3);
+                *value = ((*value - gain * spread) / FORGETTING_FACTOR).clamp(-1e3, 1e3);
             }
         }
     }
 
     fn costs(&self) -> Vec<shedding::Cost> {
-        let cost = |(index, runs): (usize, &Runs)| shedding::Cost {
+        let cost = |(index, runs): (usize, &RouteRuns)| shedding::Cost {
             route: runs.name.clone(),
             slot_time: Millis(runs.slot_time as u64),
             calls: self
                 .calls
                 .iter()
-                .filter(|(_, calls)| calls[index] >= LEAST_CALLS)
+                .filter(|(_, calls)| calls[index] >= MIN_CALLS_PER_RUN)
                 .map(|(name, calls)| (name.clone(), calls[index] as f32))
                 .collect(),
         };
@@ -131,19 +136,19 @@
     }
 }
 
-/// How long a run of a route holds its place on the own target, or elsewhere if it did not run
+/// How long a run of a route occupies a slot of the local target, or elsewhere if it did not run
 /// here.
 pub(super) fn slot_time(world: &World, route: RouteKey) -> Option<Millis> {
     let name = &world.tables.routes.get(route)?.config.name;
     let runs = world.systems.shedding.route_cost.runs.iter();
-    let here = runs.filter(|runs| runs.slot_time > 0.0).find(|runs| runs.name == *name);
-    match here {
+    let local = runs.filter(|runs| runs.slot_time > 0.0).find(|runs| runs.name == *name);
+    match local {
         Some(runs) => Some(Millis(runs.slot_time as u64)),
         None => world.tables.demand.slot_time(name),
     }
 }
 
-/// The own target has called a route.
+/// Counts a call that the local target made to a route.
 pub(super) fn record_call(world: &mut World, route: Option<RouteKey>) {
     let Some(route) = route.and_then(|route| world.tables.routes.get(route)) else { return };
     let called = &mut world.systems.shedding.route_cost.called;
@@ -153,7 +158,7 @@
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for (_, Message::Costs(costs)) in std::mem::take(&mut tick.inbox.shedding) {
         for cost in costs {
-            believe(world, cost, TOLD_WEIGHT);
+            merge_cost(world, cost, REPORT_WEIGHT);
         }
     }
     for (ticket, end) in &tick.inbox.runs_ended {
@@ -162,33 +167,33 @@
         let Some(call) = call.and_then(|call| world.tables.calls.get(call)) else { continue };
         let route = call.route.and_then(|route| world.tables.routes.get(route));
         let Some(route) = route else { continue };
-        let held = (tick.now - call.since).0 as f64;
+        let measured = (tick.now - call.since).0 as f64;
         let state = &mut world.systems.shedding.route_cost;
         let Some(index) = state.index(&route.config.name) else { continue };
         let runs = &mut state.runs[index];
-        let weight = if runs.slot_time == 0.0 { 1.0 } else { HOLD_WEIGHT };
-        runs.slot_time += (held - runs.slot_time) * weight;
+        let weight = if runs.slot_time == 0.0 { 1.0 } else { SLOT_TIME_WEIGHT };
+        runs.slot_time += (measured - runs.slot_time) * weight;
         runs.ended += 1.0;
     }
     let state = &mut world.systems.shedding.route_cost;
-    if tick.now >= state.next {
-        state.next = tick.now + PERIOD;
-        state.learn();
+    if tick.now >= state.next_update {
+        state.next_update = tick.now + UPDATE_INTERVAL;
+        state.update_estimates();
     }
-    if tick.now >= state.next_tell {
-        state.next_tell = tick.now + TELL_PERIOD;
-        tell(world, tick);
+    if tick.now >= state.next_send {
+        state.next_send = tick.now + SEND_INTERVAL;
+        send_costs(world, tick);
     }
 }
 
-/// Tells peers what runs cost here, and takes it in as they do.
-fn tell(world: &mut World, tick: &mut Tick) {
+/// Sends the costs of runs here to all peers, and merges them into the table as the peers do.
+fn send_costs(world: &mut World, tick: &mut Tick) {
     let costs = world.systems.shedding.route_cost.costs();
     if costs.is_empty() {
         return;
     }
     for cost in &costs {
-        believe(world, cost.clone(), TOLD_WEIGHT);
+        merge_cost(world, cost.clone(), REPORT_WEIGHT);
     }
     let peers = world.tables.peers.iter().filter(|(_, peer)| peer.link == Link::Up);
     let peers: Vec<_> = peers.map(|(key, _)| key).collect();
@@ -197,18 +202,18 @@
     }
 }
 
-/// Takes in what a node says that runs of a route cost.
-fn believe(world: &mut World, told: shedding::Cost, weight: f64) {
+/// Merges a node's report of a route's cost into the table.
+fn merge_cost(world: &mut World, reported: shedding::Cost, weight: f64) {
     let costs = &mut world.tables.demand.costs;
-    let is_first = !costs.contains_key(&told.route);
+    let is_first = !costs.contains_key(&reported.route);
     let weight = if is_first { 1.0 } else { weight };
-    let cost: &mut Cost = costs.entry(told.route).or_default();
-    cost.slot_time += (told.slot_time.0 as f64 - cost.slot_time) * weight;
+    let cost: &mut Cost = costs.entry(reported.route).or_default();
+    cost.slot_time += (reported.slot_time.0 as f64 - cost.slot_time) * weight;
     for calls in cost.calls.values_mut() {
         *calls *= 1.0 - weight;
     }
-    for (name, calls) in told.calls {
+    for (name, calls) in reported.calls {
         *cost.calls.entry(name).or_default() += f64::from(calls) * weight;
     }
-    cost.calls.retain(|_, calls| *calls >= LEAST_CALLS / 2.0);
+    cost.calls.retain(|_, calls| *calls >= MIN_CALLS_PER_RUN / 2.0);
 }
--- a/crates/mustardpin-world/src/table/demand.rs
+++ b/crates/mustardpin-world/src/table/demand.rs
@@ -1,4 +1,4 @@
-//! What runs of each route cost, and how much of each is asked for at the top of call chains.
+//! The cost of each route, and the demand for each route at the root of call chains.
 
 use std::collections::BTreeMap;
 
@@ -11,61 +11,60 @@
     id::{RouteKey, ServiceKey, TeamKey},
 };
 
-/// What a run of one route costs, as the nodes that run it say.
+/// The cost of one run of a route, as reported by the nodes that run it.
 #[derive(Debug, Clone, Default)]
 pub struct Cost {
-    /// How long a run holds its place, in milliseconds, smoothed over what nodes say.
+    /// How long a run occupies a slot, in milliseconds, smoothed over the nodes' reports.
     pub slot_time: f64,
-    /// The routes that a run calls, and how often, smoothed likewise.
+    /// The routes that a run calls, with the mean number of calls to each, smoothed likewise.
     pub calls: BTreeMap<CompactString, f64>,
 }
 
-/// What a request at the top of a call chain costs a service, in milliseconds of a place on a
-/// target.
+/// The slot time, in milliseconds, that a request at the root of a call chain costs each service.
 pub type Load = Vec<(ServiceKey, f64)>;
 
-/// Requests at the top of call chains that are let through alike. In the order of importance.
+/// A class of root requests that are admitted with the same probability. Ordered by importance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestClass {
-    /// How much they matter.
+    /// Their importance.
     pub rank: Rank,
-    /// The team that they run for.
+    /// The team that they run for, if it is known.
     pub team: Option<TeamKey>,
     /// Their route.
     pub route: RouteKey,
 }
 
-/// Requests of one kind. Amounts decay, so they follow the last second or so.
+/// The requests of one class. Amounts decay, so they cover about the last second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Offer {
-    /// Requests that came.
+    /// The decayed number of requests that arrived.
     pub offered: f64,
-    /// The share that is let through.
+    /// The fraction that is admitted, from 0 to 1.
     pub admitted: f64,
 }
 
 /// The table of demand.
 #[derive(Debug, Default)]
 pub struct Demand {
-    /// What runs cost, by the route's name.
+    /// The cost of a run, by the route's name.
     pub costs: BTreeMap<CompactString, Cost>,
-    /// What requests at the top of call chains cost, with all the calls below them.
+    /// The cost of a root request for each route, including all the calls below it.
     pub loads: SecondaryMap<RouteKey, Load>,
-    /// What is asked for at the top of call chains at this node.
+    /// The demand for root requests at this node.
     pub offers: BTreeMap<RequestClass, Offer>,
 }
 
 impl Demand {
-    /// Requests of the same importance for the same route, of this team or another.
-    pub fn similar(&self, kind: RequestClass) -> Option<&Offer> {
-        if let Some(offer) = self.offers.get(&kind) {
+    /// The offer of this class, or else one of the same rank and route from another team.
+    pub fn similar(&self, class: RequestClass) -> Option<&Offer> {
+        if let Some(offer) = self.offers.get(&class) {
             return Some(offer);
         }
-        let mut equals = self.offers.iter().filter(|(other, _)| other.rank == kind.rank);
-        equals.find(|(other, _)| other.route == kind.route).map(|(_, offer)| offer)
+        let mut same_rank = self.offers.iter().filter(|(other, _)| other.rank == class.rank);
+        same_rank.find(|(other, _)| other.route == class.route).map(|(_, offer)| offer)
     }
 
-    /// The time that a run of a route holds its place, if that is known.
+    /// How long a run of a route occupies a slot, if that is known.
     pub fn slot_time(&self, route: &str) -> Option<Millis> {
         self.costs.get(route).map(|cost| Millis(cost.slot_time as u64))
     }
