--- a/crates/mustardpin-world/src/system/limit.rs
+++ b/crates/mustardpin-world/src/system/limit.rs
@@ -1,8 +1,8 @@
-//! How many requests may run on the own target at once.
+//! How many requests may run on the local target at once.
 //!
 //! By default the limit follows from what this node measures itself. The target's report of its
-//! slots only lowers the limit that a target starts with, since reports lag and mislead. Where
-//! targets are known to tell their slots truly, the limit can follow those.
+//! slots only lowers the initial limit of a target, since reports lag and mislead. Where targets
+//! are known to report their slots correctly, the limit can follow those.
 
 mod adaptive;
 mod fixed;
@@ -21,9 +21,10 @@
 /// The weight of a new sample in the mean latency.
 const LATENCY_WEIGHT: f64 = 0.05;
 
-/// What one ended run says of the target.
+/// The measurement of one run that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Sample {
+    /// When the run ended.
     now: Millis,
     latency: Millis,
     end: SampleEnd,
@@ -33,38 +34,41 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SampleEnd {
+    /// The target responded without a server error.
     Served,
+    /// The run ended in any other way: with a server error, without a response, or cancelled.
     Failed,
-    /// The target said that it has too much to do.
+    /// The target declined the request because it is overloaded.
     Declined,
 }
 
-/// Finds the limit.
+/// An algorithm that determines the limit.
 trait Algorithm: Debug + Send {
-    /// The limit now.
+    /// The current limit.
     fn limit(&self) -> u32;
 
-    /// The limit apart from a probe that lowers it for a short time.
+    /// The limit without the temporary reduction during a probe.
     fn sustained(&self) -> u32 {
         self.limit()
     }
 
-    /// Takes a sample in.
+    /// Updates the limit with a sample.
     fn observe(&mut self, _sample: Sample) {}
 
-    /// The target is a new one; it may have said how many slots it has.
+    /// Starts over for a new process of the target, with its slots if it reported them.
     fn restart(&mut self, _slots: Option<u32>) {}
 
-    /// The target says that it has another number of slots.
+    /// Takes over a changed number of slots that the target reported.
     fn resize(&mut self, _slots: u32) {}
 }
 
-/// What the system remembers from tick to tick.
+/// The state of the system between ticks.
 #[derive(Debug)]
 pub(crate) struct State {
     algorithm: Box<dyn Algorithm>,
-    /// The process of the target that the limit belongs to, and its slots.
+    /// The start time of the target's process that the limit belongs to, and its reported slots.
     target: Option<(Millis, Option<u32>)>,
+    /// The smoothed latency of served runs, in milliseconds; zero before the first one.
     latency: f64,
 }
 
@@ -105,7 +109,7 @@
     target.latency = Millis(state.latency as u64);
 }
 
-/// Begins anew when the target is another process, and follows the slots that it tells.
+/// Restarts the algorithm when the target is another process, and passes on its reported slots.
 fn follow_target(world: &mut World) {
     let state = &mut world.systems.limit;
     let target = &world.tables.target;
--- a/crates/mustardpin-world/src/system/limit/adaptive.rs
+++ b/crates/mustardpin-world/src/system/limit/adaptive.rs
@@ -1,10 +1,10 @@
-//! A limit found from measured latency and the number of requests in flight.
+//! A limit derived from measured latency and the number of requests in flight.
 //!
-//! While the limit holds requests back, the algorithm lowers it for one round from time to time.
-//! The latency seen then is the latency without a queue inside the target, however slow the target
-//! has become. With the latency seen just before, Little's law gives the number of requests that
-//! the target really works on. Between two such probes the limit grows for as long as latency
-//! stays near that of the last probe.
+//! While the limit is saturated, the algorithm lowers it for one round from time to time, as a
+//! probe. The latency measured then is the latency without a queue inside the target, however slow
+//! the target has become. Together with the latency just before the probe, Little's law gives the
+//! number of requests that the target really works on. Between two probes the limit grows for as
+//! long as latency stays near that of the last probe.
 
 use crate::{
     clock::Millis,
@@ -12,66 +12,73 @@
     system::limit::{Algorithm, Sample, SampleEnd},
 };
 
-/// The limit during a probe, as a share of the limit before it.
-const PROBE_SHARE: f64 = 0.6;
+/// The limit during a probe, as a fraction of the limit before it.
+const PROBE_FRACTION: f64 = 0.6;
 /// The limit after a probe, as a multiple of the requests that the target works on.
 const HEADROOM: f64 = 1.1;
 /// Latency above this multiple of the last probe's stops the growth of the limit.
-const GROW_BELOW: f64 = 1.4;
+const GROWTH_LATENCY_RATIO: f64 = 1.4;
 /// Latency above this multiple of the last probe's calls for a new probe at once.
-const PROBE_ABOVE: f64 = 2.0;
-/// Growth for each round.
+const PROBE_LATENCY_RATIO: f64 = 2.0;
+/// The relative growth of the limit in each round.
 const GROWTH: f64 = 0.2;
-/// Growth for each round until the first probe.
+/// The relative growth of the limit in each round until the first probe.
 const START_GROWTH: f64 = 1.0;
-/// What the limit is multiplied by when the target declines requests.
+/// The limit is multiplied by this when the target declines a request.
 const DECLINED_FACTOR: f64 = 0.8;
-/// Samples of a round.
-const SAMPLES: u32 = 32;
-/// The shortest round.
-const SHORTEST_ROUND: Millis = Millis(50);
-/// The longest round, however few samples there are.
-const LONGEST_ROUND: Millis = Millis(1_000);
-/// The longest round of a probe, and its samples: a probe leaves a part of the target unused.
-const LONGEST_PROBE: Millis = Millis(500);
+/// The minimum number of samples of a round.
+const ROUND_SAMPLES: u32 = 32;
+/// The minimum duration of a round.
+const MIN_ROUND: Millis = Millis(50);
+/// The maximum duration of a round, however few samples there are.
+const MAX_ROUND: Millis = Millis(1_000);
+/// The maximum duration of a probe; shorter than a round, since a probe leaves a part of the target
+/// unused.
+const MAX_PROBE: Millis = Millis(500);
+/// The minimum number of samples of a probe.
 const PROBE_SAMPLES: u32 = 48;
-/// The shortest time between two probes.
-const SHORTEST_PERIOD: Millis = Millis(500);
-/// The shortest time between two probes without a sign of a queue.
-const PROBE_PERIOD: Millis = Millis(2_000);
-/// The time between two probes, as a multiple of the latency, once a probe has found no queue.
-const PROBE_PERIOD_LATENCIES: f64 = 40.0;
-/// The same, for as long as probes find a queue inside the target.
-const QUEUE_PERIOD_LATENCIES: f64 = 8.0;
-/// A probe that lowers latency below this share has found a queue.
-const QUEUE_BELOW: f64 = 0.85;
-/// Latency during a probe above this multiple of that before it is noise.
-const MOST_RATIO: f64 = 1.2;
-/// The weight of a round with less latency than the last probe.
-const FALL_WEIGHT: f64 = 0.2;
-/// The time until samples belong to a new limit, as a multiple of the latency.
+/// The minimum time between two probes.
+const MIN_PROBE_INTERVAL: Millis = Millis(500);
+/// The minimum time between two probes while latency does not indicate a queue.
+const MIN_ROUTINE_PROBE_INTERVAL: Millis = Millis(2_000);
+/// The time between two probes, as a multiple of the latency, after a probe that found no queue.
+const PROBE_INTERVAL_LATENCIES: f64 = 40.0;
+/// The same, after a probe that found a queue inside the target.
+const QUEUE_PROBE_INTERVAL_LATENCIES: f64 = 8.0;
+/// A probe that lowers latency below this fraction has found a queue.
+const QUEUE_LATENCY_RATIO: f64 = 0.85;
+/// A higher ratio than this of the latency during a probe to that before it is noise.
+const MAX_LATENCY_RATIO: f64 = 1.2;
+/// The weight of a round whose latency is lower than that of the last probe.
+const DECREASE_WEIGHT: f64 = 0.2;
+/// The time until samples reflect a new limit, as a multiple of the latency.
 const SETTLE_LATENCIES: f64 = 1.5;
-/// The weight of a new sample in the mean latency that rounds are measured by.
+/// The weight of a new sample in the mean latency, from which the time to settle is derived.
 const LATENCY_WEIGHT: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Phase {
-    /// Until the first sign of a queue inside the target.
+    /// Before the first probe, which follows the first sign of a queue inside the target.
     Start,
+    /// Between two probes.
     Cruise,
-    /// `before` and `latency` are the limit and the latency of the round before.
+    /// During a probe.
     Probe {
+        /// The limit before the probe.
         before: f64,
+        /// The mean latency of the round before the probe, in milliseconds.
         latency: f64,
     },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 struct Round {
-    begun: Millis,
+    /// When the first sample was taken.
+    started_at: Millis,
     samples: u32,
-    /// Samples that ended while the limit held requests back.
-    held: u32,
+    /// Samples that were taken while as many requests ran as the limit allows.
+    saturated: u32,
+    /// The sum of the samples' latencies, in milliseconds.
     latency_sum: f64,
 }
 
@@ -82,18 +89,21 @@
     limit: f64,
     phase: Phase,
     round: Round,
-    /// Samples before this point belong to an earlier limit.
+    /// Samples before this time belong to an earlier limit.
     settled: Millis,
-    /// The latency of the last probe; zero before the first round.
+    /// The latency of the last probe, in milliseconds, lowered by rounds with less; zero before the
+    /// first round.
     unloaded: f64,
+    /// The smoothed latency of served runs, in milliseconds; zero before the first one.
     latency: f64,
-    probed: Millis,
+    /// When the last probe began.
+    probed_at: Millis,
     /// Whether the last probe found a queue inside the target.
     has_queue: bool,
 }
 
 impl Adaptive {
-    /// An algorithm for a target of which nothing is known.
+    /// The initial state, before the first sample.
     pub(super) fn new(options: Limit) -> Adaptive {
         let limit = f64::from(options.initial);
         Adaptive {
@@ -104,13 +114,13 @@
             settled: Millis::ZERO,
             unloaded: 0.0,
             latency: 0.0,
-            probed: Millis::ZERO,
+            probed_at: Millis::ZERO,
             has_queue: false,
         }
     }
 
-    /// Sets the limit. The next round begins once the samples belong to it.
-    fn set(&mut self, limit: f64, now: Millis) {
+    /// Sets the limit. The next round begins once the samples reflect it.
+    fn set_limit(&mut self, limit: f64, now: Millis) {
         self.limit = limit.clamp(f64::from(self.options.least), f64::from(self.options.most));
         self.settled = now + Millis((self.latency * SETTLE_LATENCIES).ceil() as u64);
         self.round = Round::default();
@@ -125,42 +135,43 @@
         if self.unloaded == 0.0 {
             self.unloaded = latency;
         }
-        self.unloaded += (latency - self.unloaded).min(0.0) * FALL_WEIGHT;
-        let held = round.held * 2 >= round.samples;
-        if !held {
+        self.unloaded += (latency - self.unloaded).min(0.0) * DECREASE_WEIGHT;
+        let saturated = round.saturated * 2 >= round.samples;
+        if !saturated {
             return;
         }
         if self.is_probe_due(now, latency) {
             self.phase = Phase::Probe { before: self.limit, latency };
-            self.probed = now;
-            return self.set(self.limit * PROBE_SHARE, now);
+            self.probed_at = now;
+            return self.set_limit(self.limit * PROBE_FRACTION, now);
         }
-        if latency > self.unloaded * GROW_BELOW {
+        if latency > self.unloaded * GROWTH_LATENCY_RATIO {
             return;
         }
         let growth = if self.phase == Phase::Start { START_GROWTH } else { GROWTH };
-        self.set((self.limit * (1.0 + growth)).max(self.limit + 1.0), now);
+        self.set_limit((self.limit * (1.0 + growth)).max(self.limit + 1.0), now);
     }
 
     fn is_probe_due(&self, now: Millis, latency: f64) -> bool {
-        let since = now - self.probed;
-        if self.phase == Phase::Start || latency > self.unloaded * PROBE_ABOVE {
-            return latency > self.unloaded * GROW_BELOW && since >= SHORTEST_PERIOD;
+        let since = now - self.probed_at;
+        if self.phase == Phase::Start || latency > self.unloaded * PROBE_LATENCY_RATIO {
+            return latency > self.unloaded * GROWTH_LATENCY_RATIO && since >= MIN_PROBE_INTERVAL;
         }
         let latencies = match self.has_queue {
-            true => QUEUE_PERIOD_LATENCIES,
-            false => PROBE_PERIOD_LATENCIES,
+            true => QUEUE_PROBE_INTERVAL_LATENCIES,
+            false => PROBE_INTERVAL_LATENCIES,
         };
-        since >= Millis((latency * latencies) as u64).max(PROBE_PERIOD)
+        since >= Millis((latency * latencies) as u64).max(MIN_ROUTINE_PROBE_INTERVAL)
     }
 
-    /// A probe cannot lower latency by more than it lowers the limit; the rest has another cause.
+    /// Sets the limit from the latencies before and during a probe. The ratio is clamped: a probe
+    /// cannot lower latency by more than it lowers the limit, so the rest has another cause.
     fn end_probe(&mut self, now: Millis, before: f64, loaded: f64, unloaded: f64) {
         self.phase = Phase::Cruise;
         self.unloaded = unloaded;
-        let ratio = (unloaded / loaded).clamp(PROBE_SHARE, MOST_RATIO);
-        self.has_queue = ratio < QUEUE_BELOW;
-        self.set(before * ratio * HEADROOM, now);
+        let ratio = (unloaded / loaded).clamp(PROBE_FRACTION, MAX_LATENCY_RATIO);
+        self.has_queue = ratio < QUEUE_LATENCY_RATIO;
+        self.set_limit(before * ratio * HEADROOM, now);
     }
 }
 
@@ -178,7 +189,7 @@
 
     fn observe(&mut self, sample: Sample) {
         if sample.end == SampleEnd::Declined && sample.now >= self.settled {
-            return self.set(self.limit * DECLINED_FACTOR, sample.now);
+            return self.set_limit(self.limit * DECLINED_FACTOR, sample.now);
         }
         if sample.end != SampleEnd::Served {
             return;
@@ -190,18 +201,18 @@
             return;
         }
         if self.round.samples == 0 {
-            self.round.begun = sample.now;
+            self.round.started_at = sample.now;
         }
         self.round.samples += 1;
         self.round.latency_sum += latency;
-        self.round.held += u32::from(sample.in_flight >= self.limit());
-        let (samples, longest) = match self.phase {
-            Phase::Probe { .. } => (PROBE_SAMPLES.max(self.limit()), LONGEST_PROBE),
-            _ => (SAMPLES.max(self.limit()), LONGEST_ROUND),
+        self.round.saturated += u32::from(sample.in_flight >= self.limit());
+        let (samples, max_duration) = match self.phase {
+            Phase::Probe { .. } => (PROBE_SAMPLES.max(self.limit()), MAX_PROBE),
+            _ => (ROUND_SAMPLES.max(self.limit()), MAX_ROUND),
         };
-        let length = sample.now - self.round.begun;
-        let enough = self.round.samples >= samples && length >= SHORTEST_ROUND;
-        if enough || length >= longest {
+        let duration = sample.now - self.round.started_at;
+        let is_complete = self.round.samples >= samples && duration >= MIN_ROUND;
+        if is_complete || duration >= max_duration {
             self.end_round(sample.now);
         }
     }
--- a/crates/mustardpin-world/src/system/limit/fixed.rs
+++ b/crates/mustardpin-world/src/system/limit/fixed.rs
@@ -1,4 +1,4 @@
-//! The same limit at all times.
+//! A constant limit.
 
 use crate::system::limit::Algorithm;
 
--- a/crates/mustardpin-world/src/system/limit/slots.rs
+++ b/crates/mustardpin-world/src/system/limit/slots.rs
@@ -1,4 +1,4 @@
-//! A limit that follows the slots that the target says it has.
+//! A limit that follows the slots that the target reports.
 
 use crate::{
     clock::Millis,
@@ -8,53 +8,54 @@
 
 /// What the limit is multiplied by after the target has declined a request.
 const DECLINED_FACTOR: f64 = 0.9;
-/// The smallest part of the slots that is used.
-const LEAST_PART: f64 = 0.25;
-/// The part of the slots that comes back each second.
+/// The lower bound of the fraction of the slots that is used.
+const MIN_FRACTION: f64 = 0.25;
+/// The fraction of the slots that is added back each second.
 const RECOVERY_PER_SECOND: f64 = 0.1;
-/// The time between two looks at whether a part comes back.
-const RECOVERY_PERIOD: Millis = Millis(250);
+/// The minimum time between two changes of the fraction.
+const RECOVERY_INTERVAL: Millis = Millis(250);
 
 /// The state of the algorithm.
 #[derive(Debug)]
 pub(super) struct Slots {
     options: Limit,
     slots: u32,
-    /// The part of the slots that is used, of what the options allow.
-    part: f64,
-    recovered: Millis,
+    /// The fraction that is used of the slots that the options allow.
+    fraction: f64,
+    /// When the fraction last changed.
+    changed_at: Millis,
 }
 
 impl Slots {
-    /// A limit for a target of which nothing is known.
+    /// The state for a target that has not reported its slots yet.
     pub(super) fn new(options: Limit) -> Slots {
         let slots = options.initial;
-        Slots { options, slots, part: 1.0, recovered: Millis::ZERO }
+        Slots { options, slots, fraction: 1.0, changed_at: Millis::ZERO }
     }
 }
 
 impl Algorithm for Slots {
     fn limit(&self) -> u32 {
         let usable = f64::from(self.slots) * f64::from(self.options.slots_percent) / 100.0;
-        ((usable * self.part) as u32).clamp(self.options.least, self.options.most)
+        ((usable * self.fraction) as u32).clamp(self.options.least, self.options.most)
     }
 
     fn observe(&mut self, sample: Sample) {
-        if sample.end == SampleEnd::Declined && sample.now - self.recovered >= RECOVERY_PERIOD {
-            self.part = (self.part * DECLINED_FACTOR).max(LEAST_PART);
-            self.recovered = sample.now;
+        if sample.end == SampleEnd::Declined && sample.now - self.changed_at >= RECOVERY_INTERVAL {
+            self.fraction = (self.fraction * DECLINED_FACTOR).max(MIN_FRACTION);
+            self.changed_at = sample.now;
         }
-        let elapsed = sample.now - self.recovered;
-        if elapsed >= RECOVERY_PERIOD {
+        let elapsed = sample.now - self.changed_at;
+        if elapsed >= RECOVERY_INTERVAL {
             let gained = RECOVERY_PER_SECOND * elapsed.0.min(1_000) as f64 / 1_000.0;
-            self.part = (self.part + gained).min(1.0);
-            self.recovered = sample.now;
+            self.fraction = (self.fraction + gained).min(1.0);
+            self.changed_at = sample.now;
         }
     }
 
     fn restart(&mut self, slots: Option<u32>) {
         self.slots = slots.unwrap_or(self.options.initial);
-        self.part = 1.0;
+        self.fraction = 1.0;
     }
 
     fn resize(&mut self, slots: u32) {
--- a/crates/mustardpin-world/src/system/queueing.rs
+++ b/crates/mustardpin-world/src/system/queueing.rs
@@ -1,9 +1,9 @@
-//! Holds calls until the own target has room, and sends them there.
+//! Queues calls until the local target has a free slot, and dispatches them.
 //!
 //! The more important calls go first. A call that a target makes in the course of another request
 //! has that request's importance; where the target does not say which one it is, the call goes
 //! before all others, since refusing it wastes work of unknown importance. A call that would have
-//! to wait too long is refused at once, while its entry node can still try another place.
+//! to wait too long is refused at once, while its entry node can still try another target.
 
 mod codel;
 mod fair;
@@ -16,7 +16,7 @@
     command::Command,
     config::Rank,
     id::{CallKey, TeamKey},
-    log::{self, Level},
+    log::{Entry, Level},
     options::{self, Queueing},
     refusal::{Reason, Refusal},
     request::{Nesting, Run, Verdict},
@@ -30,72 +30,79 @@
     world::{Tick, World},
 };
 
-/// A run that has not reached the target within this time of the decision must not start.
-const START_WITHIN: Millis = Millis(500);
-/// The time between two searches of the whole queue for calls whose time is up.
-const SWEEP_PERIOD: Millis = Millis(50);
-/// How long a caller should wait before it sends a refused request again.
+/// A run that has not reached the target within this time after its dispatch must not start.
+const START_TIMEOUT: Millis = Millis(500);
+/// The time between two searches of the whole queue for calls that have waited too long.
+const SWEEP_INTERVAL: Millis = Millis(50);
+/// How long a caller should wait before it retries a refused request.
 const RETRY_AFTER: Millis = Millis(500);
-/// A queue this long is never too long: estimates of the wait are rough.
-const LEAST_CAPACITY: usize = 4;
-/// The estimate of a run's length halves for each such time without any run.
+/// The minimum capacity of the queue. A shorter queue is never too long, since estimates of the
+/// wait are rough.
+const MIN_CAPACITY: usize = 4;
+/// The estimate of a run's minimum duration halves for each such interval without any run.
 const ESTIMATE_HALF_LIFE: Millis = Millis(500);
-/// A run surely takes the mean length divided by this.
-const CERTAIN_PART: u64 = 2;
+/// A run is assumed to take at least the mean duration divided by this.
+const MIN_RUN_DIVISOR: u64 = 2;
 
-/// What decides which call goes first: calls made by targets for requests that are not known, then
-/// the more important, then calls made by targets.
+/// The priority of a call, the highest class first: calls made by targets for unknown requests, then
+/// the more important calls, then calls made by targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Class {
+    /// Whether a target made the call in the course of a request that is not known.
     is_unlinked: bool,
     rank: Rank,
+    /// Whether a target made the call.
     is_nested: bool,
 }
 
 /// A call in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Entry {
+struct QueueEntry {
     call: CallKey,
     team: Option<TeamKey>,
+    /// The weight of the team in fair shares, at least 1.
     weight: u32,
     class: Class,
-    queued: Millis,
+    /// When the call entered the queue.
+    queued_at: Millis,
 }
 
-/// What leaves the queue.
+/// A call that leaves the queue, and what happens to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Next {
-    Run(Entry),
-    Drop(Entry),
+    /// The call is dispatched to the target.
+    Run(QueueEntry),
+    /// The call is refused.
+    Drop(QueueEntry),
 }
 
-/// The order of a queue.
+/// A queueing discipline.
 trait Discipline: Debug + Send {
     /// Adds a call to the queue.
-    fn push(&mut self, entry: Entry);
+    fn push(&mut self, entry: QueueEntry);
 
-    /// Takes the call out that is refused when the queue is too long.
-    fn evict(&mut self) -> Option<Entry>;
+    /// Removes the call that is refused when the queue is too long.
+    fn evict(&mut self) -> Option<QueueEntry>;
 
-    /// Takes the next call out.
+    /// Removes the next call.
     fn pop(&mut self, now: Millis) -> Option<Next>;
 
-    /// Takes out all calls for which `keep` is false.
-    fn retain(&mut self, keep: &mut dyn FnMut(&Entry) -> bool);
+    /// Removes all calls for which `keep` returns false.
+    fn retain(&mut self, keep: &mut dyn FnMut(&QueueEntry) -> bool);
 
-    /// How many calls are in the queue.
+    /// The number of calls in the queue.
     fn len(&self) -> usize;
 
-    /// How many calls go before one of this class that comes now.
+    /// The number of calls that go before a call of this class that arrives now.
     fn ahead_of(&self, class: Class) -> usize;
 }
 
-/// What the system remembers from tick to tick.
+/// The state of the system between ticks.
 #[derive(Debug)]
 pub(crate) struct State {
     discipline: Box<dyn Discipline>,
     next_sweep: Millis,
-    /// When the target last began a run.
+    /// When a call was last dispatched to the target.
     last_run: Millis,
 }
 
@@ -116,15 +123,15 @@
         let route = call.route;
         shedding::record_arrival(world, route);
         let Some(call) = world.tables.calls.get(key) else { continue };
-        let entry = entry(world, key, call);
-        if waits_too_long(world, tick.now, call, entry) {
+        let entry = queue_entry(world, key, call);
+        if would_wait_too_long(world, tick.now, call, entry) {
             refuse(world, tick, key, Reason::QueueFull);
             continue;
         }
         world.systems.queueing.discipline.push(entry);
     }
     sweep(world, tick);
-    fill(world, tick);
+    dispatch_queued(world, tick);
     evict(world, tick);
     world.tables.target.queued = world.systems.queueing.discipline.len() as u32;
 }
@@ -140,10 +147,10 @@
     taken
 }
 
-fn entry(world: &World, key: CallKey, call: &Call) -> Entry {
+fn queue_entry(world: &World, key: CallKey, call: &Call) -> QueueEntry {
     let weight =
         call.team.and_then(|team| world.tables.teams.get(team)).map_or(1, |row| row.weight);
-    Entry {
+    QueueEntry {
         call: key,
         team: call.team,
         weight: weight.max(1),
@@ -152,41 +159,41 @@
             rank: call.rank,
             is_nested: call.nesting.is_nested(),
         },
-        queued: call.since,
+        queued_at: call.since,
     }
 }
 
 /// Whether a call would have to wait too long behind those that go before it.
-fn waits_too_long(world: &World, now: Millis, call: &Call, entry: Entry) -> bool {
-    if has_room(world, now) {
+fn would_wait_too_long(world: &World, now: Millis, call: &Call, entry: QueueEntry) -> bool {
+    if has_free_slot(world, now) {
         return false;
     }
     let target = &world.tables.target;
     let ahead = world.systems.queueing.discipline.ahead_of(entry.class);
-    if ahead < LEAST_CAPACITY && target.is_open() {
+    if ahead < MIN_CAPACITY && target.is_open() {
         return false;
     }
     let limit = u64::from(target.sustained_limit.max(1));
     let wait = Millis((ahead as u64).saturating_mul(target.latency.0) / limit);
     let options = &world.options.queueing;
-    wait > longest_wait(options, call) || now + wait + least_time(world, now) > call.deadline
+    wait > max_wait(options, call) || now + wait + min_run_time(world, now) > call.deadline
 }
 
-/// Refuses calls that wait too long, and forgets those whose caller has gone.
+/// Refuses calls that have waited too long, and removes those that have ended, for example because
+/// their caller has gone.
 fn sweep(world: &mut World, tick: &mut Tick) {
     if world.systems.queueing.discipline.len() == 0 {
         return;
     }
     if tick.now >= world.systems.queueing.next_sweep {
-        world.systems.queueing.next_sweep = tick.now + SWEEP_PERIOD;
-        let least = least_time(world, tick.now);
+        world.systems.queueing.next_sweep = tick.now + SWEEP_INTERVAL;
+        let run_time = min_run_time(world, tick.now);
         let (calls, options) = (&world.tables.calls, &world.options.queueing);
         let mut late = Vec::new();
         world.systems.queueing.discipline.retain(&mut |entry| {
             let Some(call) = calls.get(entry.call) else { return false };
-            let is_late = call.deadline <= tick.now + least
-                || (options.is_wait_strict
-                    && tick.now - entry.queued > longest_wait(options, call));
+            let is_late = call.deadline <= tick.now + run_time
+                || (options.is_wait_strict && tick.now - entry.queued_at > max_wait(options, call));
             if is_late {
                 late.push(entry.call);
             }
@@ -199,14 +206,14 @@
     tick.wake(world.systems.queueing.next_sweep);
 }
 
-/// How long a call may wait at most.
-fn longest_wait(options: &Queueing, call: &Call) -> Millis {
+/// The maximum time that a call may wait in the queue.
+fn max_wait(options: &Queueing, call: &Call) -> Millis {
     if call.nesting.is_nested() { options.nested_wait } else { options.wait }
 }
 
-/// Sends calls to the target for as long as it has room.
-fn fill(world: &mut World, tick: &mut Tick) {
-    while has_room(world, tick.now) {
+/// Dispatches calls to the target for as long as it has free slots.
+fn dispatch_queued(world: &mut World, tick: &mut Tick) {
+    while has_free_slot(world, tick.now) {
         match world.systems.queueing.discipline.pop(tick.now) {
             Some(Next::Run(entry)) => dispatch(world, tick, entry),
             Some(Next::Drop(entry)) => refuse(world, tick, entry.call, Reason::QueueFull),
@@ -215,7 +222,7 @@
     }
 }
 
-fn has_room(world: &World, now: Millis) -> bool {
+fn has_free_slot(world: &World, now: Millis) -> bool {
     let target = &world.tables.target;
     if !target.present {
         return false;
@@ -227,7 +234,7 @@
     }
 }
 
-/// Refuses what would have to wait too long.
+/// Refuses calls until the queue is no longer than its capacity.
 fn evict(world: &mut World, tick: &mut Tick) {
     let capacity = capacity(world);
     while world.systems.queueing.discipline.len() > capacity {
@@ -236,7 +243,7 @@
     }
 }
 
-/// How many calls may wait: as many as the target runs in the time that is set for waiting.
+/// How many calls may wait: as many as the target runs in the maximum wait that the options set.
 fn capacity(world: &World) -> usize {
     let target = &world.tables.target;
     let options = &world.options.queueing;
@@ -246,7 +253,7 @@
     let limit = u64::from(target.sustained_limit.max(1));
     let wait = options.wait.max(options.nested_wait);
     let capacity = limit.saturating_mul(wait.0) / target.latency.0.max(1);
-    (capacity as usize).max(LEAST_CAPACITY).min(options.capacity)
+    (capacity as usize).max(MIN_CAPACITY).min(options.capacity)
 }
 
 fn refuse(world: &mut World, tick: &mut Tick, key: CallKey, reason: Reason) {
@@ -254,12 +261,12 @@
     finish::run(world, tick, key, Verdict::Refuse(refusal));
 }
 
-/// Sends a call to the own target, unless its time is up or it may no longer run.
-fn dispatch(world: &mut World, tick: &mut Tick, entry: Entry) {
+/// Sends a call to the local target, unless it is too late for its deadline or no longer permitted.
+fn dispatch(world: &mut World, tick: &mut Tick, entry: QueueEntry) {
     let key = entry.call;
     let calls = &world.tables.calls;
     let Some(call) = calls.get(key).filter(|call| call.stage == Stage::Queued) else { return };
-    if call.deadline <= tick.now + least_time(world, tick.now) {
+    if call.deadline <= tick.now + min_run_time(world, tick.now) {
         return refuse(world, tick, key, Reason::DeadlineBeforeRun);
     }
     if let Err(reason) = permission::check_again(&world.tables, call) {
@@ -267,10 +274,10 @@
     }
     if call.is_logged {
         let target = &world.tables.target;
-        let log_entry = log::Entry::new(Level::Info, "run")
+        let log_entry = Entry::new(Level::Info, "run")
             .on(&call.id)
             .with("instance", target.report.instance.clone())
-            .with("waited", tick.now - entry.queued)
+            .with("waited", tick.now - entry.queued_at)
             .with("running", target.running)
             .with("limit", target.limit)
             .with("left", call.deadline - tick.now);
@@ -282,24 +289,24 @@
         ticket: call.ticket,
         team: team.map(|team| team.name.clone()),
         token: call.token,
-        start_by: (tick.now + START_WITHIN).min(call.deadline),
+        start_by: (tick.now + START_TIMEOUT).min(call.deadline),
         deadline: call.deadline,
         repeatable: call.repeatable,
     }));
     world.systems.queueing.last_run = tick.now;
-    world.tables.latencies.record_step(Step::Queue, tick.now - entry.queued);
+    world.tables.latencies.record_step(Step::Queue, tick.now - entry.queued_at);
     let tables = &mut world.tables;
     tables.target.running += 1;
     tables.counters.work(Work::Run);
     tables.calls.advance(key, Stage::Running, tick.now);
 }
 
-/// The time that a run surely needs. The estimate falls while nothing runs, so that a wrong one
-/// does not keep everything out.
-fn least_time(world: &World, now: Millis) -> Millis {
+/// The estimated minimum duration of a run. It decays while nothing is dispatched, so that a wrong
+/// estimate does not lead to the refusal of all calls.
+fn min_run_time(world: &World, now: Millis) -> Millis {
     if !world.options.queueing.drop_late {
         return Millis::ZERO;
     }
     let idle = (now - world.systems.queueing.last_run).0 / ESTIMATE_HALF_LIFE.0;
-    Millis((world.tables.target.latency.0 / CERTAIN_PART) >> idle.min(63))
+    Millis((world.tables.target.latency.0 / MIN_RUN_DIVISOR) >> idle.min(63))
 }
--- a/crates/mustardpin-world/src/system/queueing/fair.rs
+++ b/crates/mustardpin-world/src/system/queueing/fair.rs
@@ -1,39 +1,40 @@
-//! By importance, then by weighted fair shares between teams.
+//! Queueing by importance, then by weighted fair shares between teams.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::{
     clock::Millis,
     id::TeamKey,
-    system::queueing::{Class, Discipline, Entry, Next},
+    system::queueing::{Class, Discipline, Next, QueueEntry},
 };
 
 /// What one request of a team of weight one adds to the team's service tag.
-const COST: u64 = 1 << 20;
+const REQUEST_COST: u64 = 1 << 20;
 
 type Team = Option<TeamKey>;
 
 /// The requests of one team in one class.
 #[derive(Debug, Default)]
 struct Lane {
-    queue: VecDeque<Entry>,
-    /// The service the team has had. The team with the least is next.
+    queue: VecDeque<QueueEntry>,
+    /// The weighted service that the team has received. The team with the lowest tag is next.
     tag: u64,
 }
 
-/// The requests of one class: start-time fair queueing between teams.
+/// The requests of one class, with start-time fair queueing between teams.
 #[derive(Debug, Default)]
 struct Level {
     lanes: BTreeMap<Team, Lane>,
-    /// Teams with requests, by their tags.
+    /// Teams with queued requests, ordered by their tags.
     ready: BTreeSet<(u64, Team)>,
-    /// The tag of the team that was last served.
+    /// The tag of the team that was last served, before it was raised for that request.
     virtual_time: u64,
+    /// The number of queued requests of all teams.
     len: usize,
 }
 
 impl Level {
-    fn push(&mut self, entry: Entry) {
+    fn push(&mut self, entry: QueueEntry) {
         let lane = self.lanes.entry(entry.team).or_default();
         if lane.queue.is_empty() {
             lane.tag = lane.tag.max(self.virtual_time);
@@ -43,28 +44,31 @@
         self.len += 1;
     }
 
-    fn pop(&mut self) -> Option<Entry> {
+    fn pop(&mut self) -> Option<QueueEntry> {
         let (tag, team) = self.ready.pop_first()?;
         let lane = self.lanes.get_mut(&team)?;
         let entry = lane.queue.pop_front()?;
         self.len -= 1;
         self.virtual_time = tag;
-        lane.tag = tag + COST / u64::from(entry.weight);
+        lane.tag = tag + REQUEST_COST / u64::from(entry.weight);
         if !lane.queue.is_empty() {
             self.ready.insert((lane.tag, team));
         }
         Some(entry)
     }
 
-    /// Takes out the request that would be served last.
-    fn evict(&mut self) -> Option<Entry> {
+    /// Removes the request that would be served last.
+    fn evict(&mut self) -> Option<QueueEntry> {
         let (_, &(tag, team)) = self
             .ready
             .iter()
-            .filter_map(|place| {
-                let queue = &self.lanes.get(&place.1)?.queue;
+            .filter_map(|candidate| {
+                let queue = &self.lanes.get(&candidate.1)?.queue;
                 let ahead = queue.len() as u64 - 1;
-                Some((place.0 + ahead * COST / u64::from(queue.front()?.weight), place))
+                Some((
+                    candidate.0 + ahead * REQUEST_COST / u64::from(queue.front()?.weight),
+                    candidate,
+                ))
             })
             .max()?;
         let lane = self.lanes.get_mut(&team)?;
@@ -76,7 +80,7 @@
         Some(entry)
     }
 
-    fn retain(&mut self, keep: &mut dyn FnMut(&Entry) -> bool) {
+    fn retain(&mut self, keep: &mut dyn FnMut(&QueueEntry) -> bool) {
         for (&team, lane) in &mut self.lanes {
             let before = lane.queue.len();
             lane.queue.retain(&mut *keep);
@@ -90,18 +94,19 @@
     }
 }
 
-/// A queue in which the most important requests go first and the teams share what is left.
+/// A queue in which the most important requests go first and the teams share the capacity fairly
+/// within a class.
 #[derive(Debug, Default)]
 pub(super) struct Fair {
     levels: BTreeMap<Class, Level>,
 }
 
 impl Discipline for Fair {
-    fn push(&mut self, entry: Entry) {
+    fn push(&mut self, entry: QueueEntry) {
         self.levels.entry(entry.class).or_default().push(entry);
     }
 
-    fn evict(&mut self) -> Option<Entry> {
+    fn evict(&mut self) -> Option<QueueEntry> {
         self.levels.values_mut().find(|level| level.len > 0)?.evict()
     }
 
@@ -109,7 +114,7 @@
         self.levels.values_mut().rev().find_map(Level::pop).map(Next::Run)
     }
 
-    fn retain(&mut self, keep: &mut dyn FnMut(&Entry) -> bool) {
+    fn retain(&mut self, keep: &mut dyn FnMut(&QueueEntry) -> bool) {
         for level in self.levels.values_mut() {
             level.retain(keep);
         }
--- a/crates/mustardpin-world/src/system/queueing/fifo.rs
+++ b/crates/mustardpin-world/src/system/queueing/fifo.rs
@@ -1,24 +1,24 @@
-//! In the order of arrival.
+//! Queueing in the order of arrival.
 
 use std::collections::VecDeque;
 
 use crate::{
     clock::Millis,
-    system::queueing::{Class, Discipline, Entry, Next},
+    system::queueing::{Class, Discipline, Next, QueueEntry},
 };
 
-/// A plain queue. The last to come is refused.
+/// A plain queue. When it is too long, the latest call is refused.
 #[derive(Debug, Default)]
 pub(super) struct Fifo {
-    queue: VecDeque<Entry>,
+    queue: VecDeque<QueueEntry>,
 }
 
 impl Discipline for Fifo {
-    fn push(&mut self, entry: Entry) {
+    fn push(&mut self, entry: QueueEntry) {
         self.queue.push_back(entry);
     }
 
-    fn evict(&mut self) -> Option<Entry> {
+    fn evict(&mut self) -> Option<QueueEntry> {
         self.queue.pop_back()
     }
 
@@ -26,7 +26,7 @@
         self.queue.pop_front().map(Next::Run)
     }
 
-    fn retain(&mut self, keep: &mut dyn FnMut(&Entry) -> bool) {
+    fn retain(&mut self, keep: &mut dyn FnMut(&QueueEntry) -> bool) {
         self.queue.retain(keep);
     }
 
