--- a/crates/mustardpin-world/benches/decision.rs
+++ b/crates/mustardpin-world/benches/decision.rs
@@ -1,7 +1,8 @@
-//! What one decision costs, against the number of teams, keys, routes, peers and calls in flight.
+//! The time of one decision, depending on the number of teams, keys, routes, peers and calls in
+//! flight.
 //!
-//! `request` runs a request on the own target from arrival to answer (two ticks); `forward` passes
-//! it to a peer; `idle` is a tick without events.
+//! `request` runs a request on the local target from arrival to response (two ticks); `forward`
+//! forwards it to a peer; `idle` is a tick without events.
 
 use std::hint::black_box;
 
@@ -16,25 +17,29 @@
     store::{self, Announcement, Area, Changes, Member, Operation, Reply, Roster, RowKey, Value},
 };
 
-/// How many of each there are, where not one of them is varied.
+/// The size of the configuration, the fleet and the load.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     teams: usize,
     keys: usize,
     routes: usize,
     peers: usize,
+    /// Requests that are in progress throughout.
     in_flight: usize,
 }
 
-const USUAL: Size = Size { teams: 8, keys: 64, routes: 16, peers: 42, in_flight: 16 };
+/// The base size, of which each group of benchmarks varies one number.
+const BASE: Size = Size { teams: 8, keys: 64, routes: 16, peers: 42, in_flight: 16 };
 
-/// A world, the rows of the store behind it and the events that are due.
+/// A world, the rows of its store and the events for its next tick.
 struct Bench {
     world: World,
     rows: Vec<store::Row>,
     now: Millis,
-    due: Vec<Event>,
-    number: u64,
+    pending_events: Vec<Event>,
+    /// The number of the last request's ticket.
+    last_ticket: u64,
+    /// The number of keys that requests use in turn.
     keys: usize,
 }
 
@@ -106,31 +111,31 @@
         options.rating.sharing = Sharing::Even;
         let world = World::new(identity, options, 42);
         let report = TargetReport { healthy: true, ..TargetReport::default() };
-        let (now, due) = (Millis::ZERO, vec![Event::Target(report)]);
+        let (now, pending_events) = (Millis::ZERO, vec![Event::Target(report)]);
         let rows = rows(size);
-        let mut bench = Bench { world, rows, now, due, number: 0, keys: size.keys };
+        let mut bench = Bench { world, rows, now, pending_events, last_ticket: 0, keys: size.keys };
         bench.tick();
         bench.tick();
         for peer in peers(size) {
             let (from, revision) = (peer.node, Default::default());
             let load = Load { open: true, limit: 1_000_000, ..Load::default() };
-            bench.due.push(Event::LinkUp { peer, revision });
-            bench.due.push(Event::Load { from, load });
+            bench.pending_events.push(Event::LinkUp { peer, revision });
+            bench.pending_events.push(Event::Load { from, load });
         }
         for _ in 0..1_000 {
             bench.tick();
         }
         for _ in 0..size.in_flight {
-            bench.begin(0);
+            bench.start_request(0);
         }
         bench
     }
 
-    /// One tick, one millisecond later. The store answers by the next.
+    /// Runs a tick, one millisecond after the last. The store replies by the next tick.
     fn tick(&mut self) -> Vec<Command> {
         self.now = self.now + Millis(1);
-        let mut events = std::mem::take(&mut self.due);
-        // The target goes on reporting.
+        let mut events = std::mem::take(&mut self.pending_events);
+        // The target reports each second.
         if self.now.0.is_multiple_of(1_000) {
             let report = TargetReport { healthy: true, ..TargetReport::default() };
             events.push(Event::Target(report));
@@ -140,13 +145,13 @@
             if let Command::Store(ticket, operation) = command
                 && let Some(reply) = self.reply(operation)
             {
-                self.due.push(Event::Store(*ticket, reply));
+                self.pending_events.push(Event::Store(*ticket, reply));
             }
         }
         commands
     }
 
-    /// What the store answers at once.
+    /// The immediate reply of the store to an operation.
     fn reply(&self, operation: &Operation) -> Option<Reply> {
         let (area, rows) = match operation {
             Operation::Read(area) => {
@@ -161,57 +166,62 @@
         Some(Reply::Changes { area, whole, up_to, clock: Some(self.now), changes })
     }
 
-    /// Lets a request arrive. Returns its ticket once it runs or has been passed to a peer.
-    fn begin(&mut self, route: usize) -> Option<Ticket> {
-        self.number += 1;
-        let key = self.number as usize % self.keys;
-        let ticket = Ticket(self.number);
-        self.due.push(Event::Arrived(Request {
+    /// Starts a request. Returns its ticket once it runs or has been forwarded to a peer.
+    fn start_request(&mut self, route: usize) -> Option<Ticket> {
+        self.last_ticket += 1;
+        let key = self.last_ticket as usize % self.keys;
+        let ticket = Ticket(self.last_ticket);
+        self.pending_events.push(Event::Arrived(Request {
             ticket,
             origin: Origin::Caller { key: Some(KeyDigest::of(&format!("key-{key}.secret"))) },
             id: Default::default(),
             host: Default::default(),
             method: "GET".into(),
             path: format!("/route-{route}/slots").into(),
-            fingerprint: Fingerprint(self.number),
+            fingerprint: Fingerprint(self.last_ticket),
             timeout: None,
         }));
         for _ in 0..4 {
-            let is_this = |command: &Command| match command {
+            let is_own_command = |command: &Command| match command {
                 Command::Run(run) => run.ticket == ticket,
                 Command::Forward(forward) => forward.ticket == ticket,
                 _ => false,
             };
-            if self.tick().iter().any(is_this) {
+            if self.tick().iter().any(is_own_command) {
                 return Some(ticket);
             }
         }
         None
     }
 
-    /// A request on the own target, from its arrival to its answer.
+    /// A request on the local target, from its arrival to its response.
     fn request(&mut self) {
-        let Some(ticket) = self.begin(0) else { return };
+        let Some(ticket) = self.start_request(0) else { return };
         let end = RunEnd::Answered { status: 200, report: None };
-        self.due.push(Event::RunEnded(ticket, end));
+        self.pending_events.push(Event::RunEnded(ticket, end));
         black_box(self.tick());
     }
 
     /// A request that a peer runs.
     fn forward(&mut self) {
-        let Some(ticket) = self.begin(1) else { return };
+        let Some(ticket) = self.start_request(1) else { return };
         let end = ForwardEnd::Answered { status: 200 };
-        self.due.push(Event::ForwardEnded { ticket, end, retries: 0 });
+        self.pending_events.push(Event::ForwardEnded { ticket, end, retries: 0 });
         black_box(self.tick());
     }
 }
 
-fn vary(criterion: &mut Criterion, what: &str, counts: &[usize], size: impl Fn(usize) -> Size) {
-    let mut group = criterion.benchmark_group(what);
+fn measure(
+    criterion: &mut Criterion,
+    group_name: &str,
+    counts: &[usize],
+    size: impl Fn(usize) -> Size,
+) {
+    let mut group = criterion.benchmark_group(group_name);
     for &count in counts {
         let mut bench = Bench::new(size(count));
-        assert!(bench.begin(0).is_some(), "requests run");
-        assert!(bench.begin(1).is_some(), "requests are passed to peers");
+        assert!(bench.start_request(0).is_some(), "requests run");
+        assert!(bench.start_request(1).is_some(), "requests are forwarded to peers");
         group.bench_with_input(BenchmarkId::new("request", count), &count, |bencher, _| {
             bencher.iter(|| bench.request());
         });
@@ -226,11 +236,11 @@
 }
 
 fn decisions(criterion: &mut Criterion) {
-    vary(criterion, "teams", &[8, 80, 800], |teams| Size { teams, keys: teams * 8, ..USUAL });
-    vary(criterion, "keys", &[64, 1_024, 16_384], |keys| Size { keys, ..USUAL });
-    vary(criterion, "routes", &[16, 64, 256], |routes| Size { routes, ..USUAL });
-    vary(criterion, "peers", &[14, 172, 690], |peers| Size { peers, ..USUAL });
-    vary(criterion, "in-flight", &[16, 256, 4_096], |in_flight| Size { in_flight, ..USUAL });
+    measure(criterion, "teams", &[8, 80, 800], |teams| Size { teams, keys: teams * 8, ..BASE });
+    measure(criterion, "keys", &[64, 1_024, 16_384], |keys| Size { keys, ..BASE });
+    measure(criterion, "routes", &[16, 64, 256], |routes| Size { routes, ..BASE });
+    measure(criterion, "peers", &[14, 172, 690], |peers| Size { peers, ..BASE });
+    measure(criterion, "in-flight", &[16, 256, 4_096], |in_flight| Size { in_flight, ..BASE });
 }
 
 criterion_group!(benches, decisions);
--- a/crates/mustardpin-world/src/system/ejection.rs
+++ b/crates/mustardpin-world/src/system/ejection.rs
@@ -1,4 +1,4 @@
-//! Keeps away from targets that fail, and finds out when they have recovered.
+//! Outlier ejection: sends no requests to targets that fail, and detects when they have recovered.
 
 use crate::{
     refusal::Reason,
--- a/crates/mustardpin-world/src/system/routing.rs
+++ b/crates/mustardpin-world/src/system/routing.rs
@@ -1,8 +1,8 @@
-//! Finds a place for each call: the own target or a peer's.
+//! Chooses a target for each call: the local one or that of a peer.
 //!
-//! Each place has a cost: how long a run takes there, as a multiple of what it usually takes, and
-//! how long it waits there first. A place in another data centre has to be better by a margin,
-//! since the way there costs time and bytes.
+//! Each target has a cost: how long a run takes there, as a multiple of its usual duration, plus
+//! how long it waits there first. A target in another data centre has to be better by a margin,
+//! since the network path there costs time and bytes.
 
 use rand::RngExt as _;
 
@@ -23,32 +23,34 @@
     world::{Tick, World},
 };
 
-/// What a peer said of its load is believed for this long; after it, only this node's own requests
+/// How long a peer's load report is used. After that, only this node's own requests to the peer
 /// count.
-const BELIEVED_FOR: Millis = Millis(1_000);
-/// The limit of a peer that has not told its own.
-const ASSUMED_LIMIT: u32 = 8;
-/// From this part of its limit on, a target counts as increasingly crowded.
-const CROWDED_FROM: f32 = 0.7;
-/// The cost of a target at its limit beyond that of an idle one, in runs.
-const CROWDED_COST: f32 = 1.0;
-/// Costs that differ by less than this are the same, in runs: the choice among them is random, so
+const LOAD_REPORT_TTL: Millis = Millis(1_000);
+/// The assumed limit of a peer that has not reported one.
+const DEFAULT_LIMIT: u32 = 8;
+/// From this fraction of its limit on, a target counts as increasingly congested.
+const CONGESTED_FROM: f32 = 0.7;
+/// The additional cost of a target at its limit compared with an idle one, in runs.
+const CONGESTION_COST: f32 = 1.0;
+/// Costs that differ by less than this, in runs, count as equal: the choice among them is random, so
 /// that nodes do not all choose the same target.
-const SAME_COST: f32 = 0.15;
-/// How long a caller should wait before it sends a refused request again.
+const COST_TOLERANCE: f32 = 0.15;
+/// How long a caller should wait before it retries a refused request.
 const RETRY_AFTER: Millis = Millis(500);
 
-/// Where a call may go.
+/// Where a call may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Place {
-    Own,
+enum Destination {
+    /// The local target.
+    Local,
+    /// A peer, for the target behind it.
     Peer(PeerKey),
 }
 
-/// A place and what it costs to go there, in runs.
+/// A destination and the cost of sending a call there, in runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Candidate {
-    place: Place,
+    destination: Destination,
     cost: f32,
 }
 
@@ -67,11 +69,11 @@
             return finish::run(world, tick, key, Verdict::Refuse(refusal));
         }
     }
-    let noise = world.rng.random::<u64>();
+    let tie_breaker = world.rng.random::<u64>();
     let Some(call) = world.tables.calls.get(key) else { return };
-    match choose(world, tick.now, call, noise) {
-        Some(Place::Own) => world.tables.calls.advance(key, Stage::Screening, tick.now),
-        Some(Place::Peer(peer)) => forward(world, tick, key, peer),
+    match choose(world, tick.now, call, tie_breaker) {
+        Some(Destination::Local) => world.tables.calls.advance(key, Stage::Screening, tick.now),
+        Some(Destination::Peer(peer)) => forward(world, tick, key, peer),
         None => {
             let refusal = no_target(call);
             finish::run(world, tick, key, Verdict::Refuse(refusal));
@@ -79,43 +81,43 @@
     }
 }
 
-/// Whether there is a place that a call may go to.
+/// Whether there is a destination for a call.
 pub(super) fn has_destination(world: &World, now: Millis, key: CallKey) -> bool {
     world.tables.calls.get(key).is_some_and(|call| choose(world, now, call, 0).is_some())
 }
 
-/// The place with the least cost. `noise` decides between equals.
-fn choose(world: &World, now: Millis, call: &Call, noise: u64) -> Option<Place> {
+/// The destination with the lowest cost. `tie_breaker` selects among peers of equal cost.
+fn choose(world: &World, now: Millis, call: &Call, tie_breaker: u64) -> Option<Destination> {
     let tables = &world.tables;
-    let own = own_candidate(world, now, call);
-    if let Some(own) = own
+    let local = local_candidate(world, now, call);
+    if let Some(local) = local
         && call.from.is_some()
     {
-        return Some(own.place);
+        return Some(local.destination);
     }
-    let mut best = own;
+    let mut best = local;
     if call.hops < world.options.routing.max_hops
         && let Some(service) = tables.services.get(call.service)
     {
         let count = service.peers.len();
         for index in 0..count {
-            // Beginning anywhere makes the choice among equals random.
-            let peer = service.peers[(index + noise as usize) % count];
+            // A random start makes the choice among peers of equal cost random.
+            let peer = service.peers[(index + tie_breaker as usize) % count];
             let cost = tables.peers.get(peer).and_then(|row| cost(world, row, peer, call, now));
             let Some(cost) = cost else { continue };
-            if best.is_none_or(|best| cost + SAME_COST < best.cost) {
-                best = Some(Candidate { place: Place::Peer(peer), cost });
+            if best.is_none_or(|best| cost + COST_TOLERANCE < best.cost) {
+                best = Some(Candidate { destination: Destination::Peer(peer), cost });
             }
         }
     }
-    best.map(|best| best.place)
+    best.map(|best| best.destination)
 }
 
 fn no_target(call: &Call) -> Refusal {
     Refusal::not_run(Reason::NoTarget).after(RETRY_AFTER.min(call.deadline - call.arrived))
 }
 
-fn own_candidate(world: &World, now: Millis, call: &Call) -> Option<Candidate> {
+fn local_candidate(world: &World, now: Millis, call: &Call) -> Option<Candidate> {
     let tables = &world.tables;
     let target = &tables.target;
     let service = tables.services.get(call.service)?;
@@ -128,11 +130,11 @@
     if target.health.ejection_state(now, target.running) == EjectionState::Ejected {
         return None;
     }
-    let cost = 1.0 + crowding(target.running + target.queued, target.limit);
-    Some(Candidate { place: Place::Own, cost })
+    let cost = 1.0 + congestion_cost(target.running + target.queued, target.limit);
+    Some(Candidate { destination: Destination::Local, cost })
 }
 
-/// What it costs to pass a call to a peer, or `None` if that may not be.
+/// The cost of forwarding a call to a peer, in runs, or `None` if the peer can't be used.
 fn cost(world: &World, peer: &Peer, key: PeerKey, call: &Call, now: Millis) -> Option<f32> {
     let node = peer.announcement.node;
     if peer.link != Link::Up || Some(node) == call.from || call.tried.contains(&key) {
@@ -146,27 +148,27 @@
         return None;
     }
     let reported =
-        if now - peer.load_as_of < BELIEVED_FOR { load.running + load.queued } else { 0 };
-    let present = (reported + peer.unreported).max(peer.in_flight);
-    let limit = if load.limit == 0 { ASSUMED_LIMIT } else { load.limit };
+        if now - peer.load_as_of < LOAD_REPORT_TTL { load.running + load.queued } else { 0 };
+    let pending = (reported + peer.unreported).max(peer.in_flight);
+    let limit = if load.limit == 0 { DEFAULT_LIMIT } else { load.limit };
     let distance = match peer.is_local {
         true => 0.0,
         false => world.options.routing.local_preference as f32 / 100.0,
     };
-    Some(peer.pace + crowding(present, limit) + distance)
+    Some(peer.pace + congestion_cost(pending, limit) + distance)
 }
 
-/// What it costs that so many requests are at a target with this limit, in runs.
-fn crowding(present: u32, limit: u32) -> f32 {
-    let load = (present + 1) as f32 / limit.max(1) as f32;
-    if load <= CROWDED_FROM {
+/// The cost of the congestion that `pending` requests cause at a target with this limit, in runs.
+fn congestion_cost(pending: u32, limit: u32) -> f32 {
+    let load = (pending + 1) as f32 / limit.max(1) as f32;
+    if load <= CONGESTED_FROM {
         return load * 0.1;
     }
-    let crowded = (load - CROWDED_FROM) / (1.0 - CROWDED_FROM);
-    crowded * CROWDED_COST
+    let congestion = (load - CONGESTED_FROM) / (1.0 - CONGESTED_FROM);
+    congestion * CONGESTION_COST
 }
 
-/// Passes a call to a peer.
+/// Forwards a call to a peer.
 fn forward(world: &mut World, tick: &mut Tick, key: CallKey, peer_key: PeerKey) {
     let lent = retry::lend(world, key);
     let tables = &mut world.tables;
--- a/crates/mustardpin-world/src/table/health.rs
+++ b/crates/mustardpin-world/src/table/health.rs
@@ -1,41 +1,41 @@
-//! How a target does on the traffic path: failures, ejection and its return.
+//! The health of a target on the traffic path: failures, ejection and recovery.
 
 use crate::clock::Millis;
 
-/// Points of failures in a row after which a target is ejected.
-const EJECT_AFTER: u32 = 6;
-/// What a connection that could not be made counts: the target is likely to be gone.
+/// The points of consecutive failures from which on a target is ejected.
+const EJECTION_THRESHOLD: u32 = 6;
+/// The points of a connection that could not be made: the target has probably stopped.
 const UNREACHABLE_POINTS: u32 = 2;
-/// What an answer that broke off counts: the target may still serve other requests.
+/// The points of a truncated or malformed response: the target may still serve other requests.
 const BROKEN_POINTS: u32 = 1;
-/// How long the first ejection lasts. Each later one lasts twice as long as the one before.
-const FIRST_EJECTION: Millis = Millis(500);
-/// The longest ejection.
-const LONGEST_EJECTION: Millis = Millis::from_secs(8);
+/// The duration of the first ejection. Each later one lasts twice as long as the one before.
+const MIN_EJECTION: Millis = Millis(500);
+/// The maximum duration of an ejection.
+const MAX_EJECTION: Millis = Millis::from_secs(8);
 
 /// Whether requests may be sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EjectionState {
-    /// As many as it has room for.
+    /// Requests may be sent, up to the target's limit.
     #[default]
     Open,
-    /// One, to see whether it has recovered.
+    /// One request may be sent, to test whether the target has recovered.
     Probe,
-    /// None.
+    /// No request may be sent.
     Ejected,
 }
 
-/// What was seen of a target on the traffic path.
+/// The recent failures of a target on the traffic path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Health {
-    /// Points of failures in a row.
+    /// The points of consecutive failures.
     pub failures: u32,
-    /// No request goes there before this point.
+    /// No request is sent to the target before this time.
     pub ejected_until: Millis,
 }
 
 impl Health {
-    /// Whether requests may be sent now, given how many are on their way already.
+    /// Whether requests may be sent now, given the number of requests already in flight.
     ///
     /// ```
     /// use mustardpin_world::{Millis, table::health::{Health, EjectionState}};
@@ -51,7 +51,7 @@
     /// assert_eq!(health.ejection_state(Millis(500), 1), EjectionState::Open);
     /// ```
     pub fn ejection_state(&self, now: Millis, in_flight: u32) -> EjectionState {
-        if self.failures < EJECT_AFTER {
+        if self.failures < EJECTION_THRESHOLD {
             return EjectionState::Open;
         }
         if now < self.ejected_until || in_flight > 0 {
@@ -60,33 +60,34 @@
         EjectionState::Probe
     }
 
-    /// Whether the target was ejected and has not answered since.
+    /// Whether the target was ejected and has not responded since.
     pub fn is_ejected(&self) -> bool {
-        self.failures >= EJECT_AFTER
+        self.failures >= EJECTION_THRESHOLD
     }
 
-    /// Takes a success in: the target is open again.
+    /// Records a success, after which the target is open again.
     pub fn record_success(&mut self) {
         *self = Health::default();
     }
 
-    /// The target could not be reached. Enough failures in a row eject it.
+    /// Records that the target could not be reached. Enough consecutive failures eject it.
     pub fn record_unreachable(&mut self, now: Millis) {
-        self.fail(now, UNREACHABLE_POINTS);
+        self.record_failure(now, UNREACHABLE_POINTS);
     }
 
-    /// An answer of the target broke off. Enough failures in a row eject it.
+    /// Records a truncated or malformed response of the target. Enough consecutive failures eject
+    /// it.
     pub fn record_broken(&mut self, now: Millis) {
-        self.fail(now, BROKEN_POINTS);
+        self.record_failure(now, BROKEN_POINTS);
     }
 
-    fn fail(&mut self, now: Millis, points: u32) {
+    fn record_failure(&mut self, now: Millis, points: u32) {
         self.failures = self.failures.saturating_add(points);
-        if self.failures < EJECT_AFTER || now < self.ejected_until {
+        if self.failures < EJECTION_THRESHOLD || now < self.ejected_until {
             return;
         }
-        let doublings = (self.failures - EJECT_AFTER).min(4);
-        let length = Millis(FIRST_EJECTION.0 << doublings).min(LONGEST_EJECTION);
-        self.ejected_until = now + length;
+        let doublings = (self.failures - EJECTION_THRESHOLD).min(4);
+        let duration = Millis(MIN_EJECTION.0 << doublings).min(MAX_EJECTION);
+        self.ejected_until = now + duration;
     }
 }
--- a/crates/mustardpin-world/src/table/latency.rs
+++ b/crates/mustardpin-world/src/table/latency.rs
@@ -1,10 +1,10 @@
-//! How long things took: histograms with fixed buckets.
+//! Latencies of requests and of internal steps, as histograms with fixed buckets.
 
 use derive_more::Display;
 
 use crate::clock::Millis;
 
-/// The upper bounds of the buckets, in milliseconds. One more bucket takes what is longer.
+/// The inclusive upper bounds of the buckets. One more bucket counts longer durations.
 pub const BOUNDS: [Millis; 14] = [
     Millis(1),
     Millis(2),
@@ -22,16 +22,16 @@
     Millis(30_000),
 ];
 
-/// Lengths of time, counted in buckets.
+/// A histogram of durations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Histogram {
     counts: [u64; BOUNDS.len() + 1],
-    /// All lengths together.
+    /// The sum of all durations.
     pub sum: Millis,
 }
 
 impl Histogram {
-    /// Counts a length.
+    /// Counts a duration.
     ///
     /// ```
     /// use mustardpin_world::{Millis, table::latency::{BOUNDS, Histogram}};
@@ -40,19 +40,19 @@
     /// histogram.observe(Millis(4));
     /// assert_eq!(histogram.buckets().nth(2), Some((Some(BOUNDS[2]), 1)));
     /// ```
-    pub fn observe(&mut self, length: Millis) {
-        let bucket = BOUNDS.partition_point(|bound| *bound < length);
+    pub fn observe(&mut self, duration: Millis) {
+        let bucket = BOUNDS.partition_point(|bound| *bound < duration);
         self.counts[bucket] += 1;
-        self.sum = self.sum + length;
+        self.sum = self.sum + duration;
     }
 
-    /// The upper bound of each bucket, the last one without any, and the lengths counted in it.
+    /// The upper bound of each bucket and its count. The last bucket has no bound.
     pub fn buckets(&self) -> impl Iterator<Item = (Option<Millis>, u64)> {
         let bounds = BOUNDS.iter().copied().map(Some).chain([None]);
         bounds.zip(self.counts)
     }
 
-    /// How many lengths were counted.
+    /// The number of durations counted.
     pub fn count(&self) -> u64 {
         self.counts.iter().sum()
     }
@@ -64,10 +64,10 @@
     /// A caller.
     #[display("caller")]
     Caller,
-    /// The own target, in the course of another request.
+    /// The local target, in the course of another request.
     #[display("target")]
     Target,
-    /// A peer that passed it on.
+    /// A peer that forwarded it.
     #[display("peer")]
     Peer,
 }
@@ -75,27 +75,28 @@
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub enum End {
-    /// With the answer of a target that is no server error.
+    /// A target responded without a server error.
     #[display("served")]
     Served,
-    /// With a server error of a target, or without a whole answer after it may have run.
+    /// A target responded with a server error, or there is no complete response although the
+    /// request may have run.
     #[display("failed")]
     Failed,
-    /// Without having run.
+    /// The request was refused and did not run.
     #[display("refused")]
     Refused,
 }
 
-/// What takes time beside requests.
+/// A step whose latency is measured apart from that of whole requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub enum Step {
-    /// Waiting for the own target.
+    /// Waiting in the queue of the local target.
     #[display("queue")]
     Queue,
-    /// A run on the own target.
+    /// A run on the local target.
     #[display("run")]
     Run,
-    /// An answer of the store, without the time that the store held the question.
+    /// A reply of the store, without the time for which the store held a long poll.
     #[display("store")]
     Store,
 }
@@ -115,7 +116,7 @@
     pub const ALL: [Step; 3] = [Step::Queue, Step::Run, Step::Store];
 }
 
-/// How long things took since the process started.
+/// The latencies since the process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Latencies {
     requests: [[Histogram; End::ALL.len()]; Source::ALL.len()],
@@ -123,22 +124,22 @@
 }
 
 impl Latencies {
-    /// A request has ended.
-    pub fn record_request(&mut self, source: Source, end: End, took: Millis) {
-        self.requests[source as usize][end as usize].observe(took);
+    /// Records the latency of a request that has ended.
+    pub fn record_request(&mut self, source: Source, end: End, latency: Millis) {
+        self.requests[source as usize][end as usize].observe(latency);
     }
 
-    /// A step has ended.
-    pub fn record_step(&mut self, step: Step, took: Millis) {
-        self.steps[step as usize].observe(took);
+    /// Records the latency of a step that has ended.
+    pub fn record_step(&mut self, step: Step, latency: Millis) {
+        self.steps[step as usize].observe(latency);
     }
 
-    /// How long requests took.
+    /// The latencies of the requests with this source and end.
     pub fn of_requests(&self, source: Source, end: End) -> &Histogram {
         &self.requests[source as usize][end as usize]
     }
 
-    /// How long a step took.
+    /// The latencies of a step.
     pub fn of_step(&self, step: Step) -> &Histogram {
         &self.steps[step as usize]
     }
--- a/crates/mustardpin-world/src/table/target.rs
+++ b/crates/mustardpin-world/src/table/target.rs
@@ -1,36 +1,36 @@
-//! The own target: the one behind this node.
+//! The local target: the one behind this node.
 
 use crate::{clock::Millis, event::TargetReport, id::CallKey, table::health::Health};
 
-/// What the node knows of its target.
+/// The state of the local target, as this node knows it.
 #[derive(Debug, Default)]
 pub struct Target {
-    /// Whether it has announced itself and is connected.
+    /// Whether the target has announced itself and is connected.
     pub present: bool,
-    /// What it last said of itself. The load is a hint: it may lag or mislead.
+    /// The target's last report. The load in it is a hint: it may lag or mislead.
     pub report: TargetReport,
-    /// When it said so.
+    /// When the last report arrived.
     pub reported_at: Millis,
-    /// Until when it is slower than usual after its start.
+    /// Until this time, the target is slower than usual after its start.
     pub cold_until: Millis,
-    /// Requests running on it, by this node's own count.
+    /// The number of requests running on the target, as counted by this node.
     pub running: u32,
-    /// Requests waiting for it.
+    /// The number of requests waiting in the queue for the target.
     pub queued: u32,
-    /// How many requests may run on it at once.
+    /// How many requests may run on the target at once.
     pub limit: u32,
-    /// The limit apart from a probe that lowers it for a short time.
+    /// The limit without the temporary reduction during a probe.
     pub sustained_limit: u32,
-    /// How long a run takes, as measured.
+    /// The measured mean duration of a run.
     pub latency: Millis,
-    /// The call that is tried alone, since it may crash the target.
+    /// The call that runs alone, since it may crash the target.
     pub trial: Option<CallKey>,
-    /// How it does on the traffic path.
+    /// The target's failures on the traffic path.
     pub health: Health,
 }
 
 impl Target {
-    /// Whether it takes new requests, as far as it says.
+    /// Whether the target accepts new requests, according to its last report.
     pub fn is_open(&self) -> bool {
         self.present && !self.report.draining
     }
