--- a/crates/mustardpin-world/src/system/limit/adaptive.rs
+++ b/crates/mustardpin-world/src/system/limit/adaptive.rs
@@ -61,7 +61,7 @@
     /// Before the first probe, which follows the first sign of a queue inside the target.
     Start,
     /// Between two probes.
-    Cruise,
+    Steady,
     /// During a probe.
     Probe {
         /// The limit before the probe.
@@ -167,7 +167,7 @@
     /// Sets the limit from the latencies before and during a probe. The ratio is clamped: a probe
     /// cannot lower latency by more than it lowers the limit, so the rest has another cause.
     fn end_probe(&mut self, now: Millis, before: f64, loaded: f64, unloaded: f64) {
-        self.phase = Phase::Cruise;
+        self.phase = Phase::Steady;
         self.unloaded = unloaded;
         let ratio = (unloaded / loaded).clamp(PROBE_FRACTION, MAX_LATENCY_RATIO);
         self.has_queue = ratio < QUEUE_LATENCY_RATIO;
@@ -183,7 +183,7 @@
     fn sustained(&self) -> u32 {
         match self.phase {
             Phase::Probe { before, .. } => before as u32,
-            Phase::Start | Phase::Cruise => self.limit(),
+            Phase::Start | Phase::Steady => self.limit(),
         }
     }
 
--- a/crates/mustardpin-world/src/system/queueing.rs
+++ b/crates/mustardpin-world/src/system/queueing.rs
@@ -44,8 +44,8 @@
 /// A run is assumed to take at least the mean duration divided by this.
 const MIN_RUN_DIVISOR: u64 = 2;
 
-/// The priority of a call, the highest class first: calls made by targets for unknown requests, then
-/// the more important calls, then calls made by targets.
+/// The priority of a call. The highest class goes first: calls made by targets for unknown
+/// requests, then the more important calls, then calls made by targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Class {
     /// Whether a target made the call in the course of a request that is not known.
--- a/crates/mustardpin-world/src/system/routing.rs
+++ b/crates/mustardpin-world/src/system/routing.rs
@@ -32,8 +32,8 @@
 const CONGESTED_FROM: f32 = 0.7;
 /// The additional cost of a target at its limit compared with an idle one, in runs.
 const CONGESTION_COST: f32 = 1.0;
-/// Costs that differ by less than this, in runs, count as equal: the choice among them is random, so
-/// that nodes do not all choose the same target.
+/// Costs that differ by less than this, in runs, count as equal: the choice among them is random,
+/// so that nodes do not all choose the same target.
 const COST_TOLERANCE: f32 = 0.15;
 /// How long a caller should wait before it retries a refused request.
 const RETRY_AFTER: Millis = Millis(500);
--- a/crates/mustardpin-world/src/system/shedding/admission.rs
+++ b/crates/mustardpin-world/src/system/shedding/admission.rs
@@ -3,8 +3,8 @@
 //! For each overloaded service, the node lowers the fraction of the work for it that it admits, and
 //! raises it again once the service has capacity. A node that lags itself does the same for all
 //! requests, whichever services they call. The admitted work goes to the most important requests
-//! first, and within a rank to teams by max-min fairness; `floor_percent` of it is guaranteed to
-//! each rank.
+//! first, and within a rank to teams by max-min fairness; `floor_percent` of it is divided among
+//! all ranks alike.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -249,9 +249,10 @@
     load.filter(|(other, _)| *other == service).map(|(_, cost)| cost).sum()
 }
 
-/// Splits a fraction of all work between classes of request: each rank is guaranteed the `floor`
-/// part of `share` of its work, and the rest goes to the highest rank first. Teams share by max-min
-/// fairness. `requested` is sorted by rank, the lowest first, and within a rank by team.
+/// Divides the fraction `share` of all work among classes of request, and returns the fraction of
+/// each class that is admitted. Each rank is guaranteed `share * floor` of its own work, and the
+/// rest goes to the highest rank first. Teams share by max-min fairness. `requested` is sorted by
+/// rank, the lowest first, and within a rank by team.
 fn split_work(
     requested: &[ClassWork],
     share: f64,
