--- a/crates/mustardpin-world/src/message.rs
+++ b/crates/mustardpin-world/src/message.rs
@@ -4,9 +4,9 @@
 pub mod configuration;
 pub mod fleet;
 pub mod freshness;
-pub mod pressure;
 pub mod quarantine;
 pub mod share;
+pub mod shedding;
 
 use derive_more::From;
 
@@ -23,7 +23,7 @@
     /// Tokens of rate limits.
     Share(share::Message),
     /// Cost of runs on the sender's target, by route.
-    Pressure(pressure::Message),
+    Shedding(shedding::Message),
     /// Crashes of targets, and the requests that were running then.
     Quarantine(quarantine::Message),
 }
