--- a/crates/mustardpin-settings/src/settings.rs
+++ b/crates/mustardpin-settings/src/settings.rs
@@ -374,7 +374,8 @@
 }
 
 fn read_work(reader: &mut Reader, options: &mut Options) {
-    let Options { limit, queueing, pressure, rating, routing, quarantine, logging, .. } = options;
+    let Options { limit, queueing, pressure, rate_limit, routing, quarantine, logging, .. } =
+        options;
     let algorithms = [("adaptive", LimitAlgorithm::Adaptive), ("slots", LimitAlgorithm::Slots)];
     limit.algorithm = reader.choice("limit.algorithm", &algorithms);
     let mut count = |key, value: &mut u32, least, most| {
@@ -397,9 +398,9 @@
     };
     length("queueing.wait", &mut queueing.wait, 0, 60_000);
     length("queueing.nested-wait", &mut queueing.nested_wait, 0, 60_000);
-    length("rating.horizon", &mut rating.horizon, 10, 10_000);
-    length("rating.patience", &mut rating.patience, 0, 10_000);
-    length("rating.reply-within", &mut rating.reply_within, 10, 10_000);
+    length("rating.horizon", &mut rate_limit.horizon, 10, 10_000);
+    length("rating.patience", &mut rate_limit.patience, 0, 10_000);
+    length("rating.reply-within", &mut rate_limit.reply_within, 10, 10_000);
     length("routing.default-timeout", &mut routing.default_timeout, 10, 600_000);
     length("routing.margin", &mut routing.margin, 0, 10_000);
 }
--- a/crates/mustardpin-virtual/tests/testsuite/rating.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/rating.rs
@@ -5,7 +5,7 @@
 use mustardpin_world::{
     Millis, Options,
     config::{self, CutOffPolicy, Row},
-    options::{Rating, Sharing},
+    options::{RateLimit, RateLimitPolicy},
     refusal::Reason,
     request::Verdict,
 };
@@ -41,9 +41,9 @@
     fleet.received.iter().filter(|received| of_rate(&received.verdict)).count()
 }
 
-fn small_fleet(seed: u64, burst: u32, sharing: Sharing, max_shards: u8) -> Fleet {
-    let rating = Rating { sharing, max_shards, ..Rating::default() };
-    let options = Options { rating, ..Options::default() };
+fn small_fleet(seed: u64, burst: u32, policy: RateLimitPolicy, max_shards: u8) -> Fleet {
+    let rate_limit = RateLimit { policy, max_shards, ..RateLimit::default() };
+    let options = Options { rate_limit, ..Options::default() };
     let mut fleet = fleet(seed, options, &Service::leaf("search", 200, 2.0), 4);
     let rows = vec![team("garage", RATE, burst), key("garage"), Row::Route(route("search"))];
     put(&mut fleet, rows);
@@ -97,13 +97,13 @@
 fn ways_of_sharing_compared() {
     let mut table = String::from("sharing, entry, refused of a team at 80% of its rate\n");
     let ways = [
-        ("even", Sharing::Even, 8),
-        ("one keeper", Sharing::Keepers, 1),
-        ("eight keepers", Sharing::Keepers, 8),
+        ("even", RateLimitPolicy::Even, 8),
+        ("one keeper", RateLimitPolicy::Sharded, 1),
+        ("eight keepers", RateLimitPolicy::Sharded, 8),
     ];
-    for (name, sharing, max_shards) in ways {
+    for (name, policy, max_shards) in ways {
         for entry in [Entry::Even, Entry::Skewed, Entry::Moving] {
-            let mut fleet = small_fleet(1, BURST, sharing, max_shards);
+            let mut fleet = small_fleet(1, BURST, policy, max_shards);
             let mut rng = Pcg64Mcg::seed_from_u64(1);
             let rate = f64::from(RATE) * 0.8;
             load(&mut fleet, &mut rng, rate, Millis::from_secs(20), |rng, elapsed| {
@@ -122,7 +122,7 @@
 #[test]
 fn a_team_far_over_its_rate_gets_its_rate_and_burst() {
     for seed in seeds(4) {
-        let mut fleet = small_fleet(seed, BURST, Sharing::Keepers, 8);
+        let mut fleet = small_fleet(seed, BURST, RateLimitPolicy::Sharded, 8);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let rate = f64::from(RATE) * 10.0;
         let length = Millis::from_secs(10);
@@ -216,7 +216,7 @@
 
     for failure in [Deaths, Freeze, Cut, CutAndServed, PlatformCut, Churn] {
         for seed in seeds(3) {
-            let mut fleet = small_fleet(seed, SMALL_BURST, Sharing::Keepers, 8);
+            let mut fleet = small_fleet(seed, SMALL_BURST, RateLimitPolicy::Sharded, 8);
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
             strike(&mut fleet, &mut rng, failure);
             let worst = worst_excess(&fleet, RATE);
@@ -232,7 +232,7 @@
     let mut table = String::from("seed, change, refused of a team at half its rate\n");
     for seed in seeds(3) {
         for kill in [false, true] {
-            let mut fleet = small_fleet(seed, BURST, Sharing::Keepers, 8);
+            let mut fleet = small_fleet(seed, BURST, RateLimitPolicy::Sharded, 8);
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
             let rate = f64::from(RATE) / 2.0;
             let gone = rng.random_range(1..12);
@@ -257,7 +257,7 @@
 #[test]
 fn bursts_after_short_pauses_stay_within_the_burst() {
     for seed in seeds(3) {
-        let mut fleet = small_fleet(seed, SMALL_BURST, Sharing::Keepers, 8);
+        let mut fleet = small_fleet(seed, SMALL_BURST, RateLimitPolicy::Sharded, 8);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         for _ in 0..100 {
             let pause = Millis(rng.random_range(5..120));
--- a/crates/mustardpin-virtual/tests/testsuite/roster.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/roster.rs
@@ -7,7 +7,7 @@
     Event, Millis, World,
     config::CutOffPolicy,
     id::{NodeId, TeamKey},
-    message::share::Shard,
+    message::rate_limit::Shard,
     store::{RowKey, Value},
 };
 
@@ -32,7 +32,7 @@
 fn kept(world: &World, now: Millis) -> Vec<(String, Shard)> {
     let tables = world.tables();
     let age = tables.freshness.fleet_age(now);
-    let buckets = tables.shares.buckets();
+    let buckets = tables.rate_limits.buckets();
     let usable =
         buckets.filter(|bucket| bucket.usable_from <= now && age < longest_use(world, bucket.team));
     let named = usable
@@ -185,7 +185,7 @@
             panic!("seed {seed}: no roster");
         };
         assert_eq!(roster.members.len(), 9, "seed {seed}");
-        let first = scenario.fleet.world_at(Site(0)).tables().roster.learned;
+        let first = scenario.fleet.world_at(Site(0)).tables().roster.learned_at;
         assert!(first < start, "seed {seed}: the roster changed at {first}");
     });
 }
--- a/crates/mustardpin-wire/src/message.rs
+++ b/crates/mustardpin-wire/src/message.rs
@@ -5,7 +5,7 @@
 use mustardpin_world::{
     Millis,
     id::{Revision, StoreVersion},
-    message::{self, share::Shard},
+    message::{self, rate_limit::Shard},
     request::Fingerprint,
 };
 use serde::{Deserialize, Serialize};
@@ -74,7 +74,7 @@
             }
             message::Message::Configuration(message) => message.into(),
             message::Message::Freshness(message) => message.into(),
-            message::Message::Share(message) => message.into(),
+            message::Message::RateLimit(message) => message.into(),
             message::Message::Pressure(message::pressure::Message::Costs(costs)) => {
                 let costs = costs.into_iter();
                 Message::Costs(costs.map(Cost::from).collect())
@@ -103,8 +103,8 @@
 impl From<message::freshness::Message> for Message {
     fn from(message: message::freshness::Message) -> Message {
         match message {
-            message::freshness::Message::Ask { number } => Message::AskFreshness { number },
-            message::freshness::Message::Tell { number, age, revision, fleet_age, roster } => {
+            message::freshness::Message::Query { number } => Message::AskFreshness { number },
+            message::freshness::Message::Reply { number, age, revision, fleet_age, roster } => {
                 Message::TellFreshness {
                     number,
                     age: age.0,
@@ -117,20 +117,22 @@
     }
 }
 
-impl From<message::share::Message> for Message {
-    fn from(message: message::share::Message) -> Message {
+impl From<message::rate_limit::Message> for Message {
+    fn from(message: message::rate_limit::Message) -> Message {
         match message {
-            message::share::Message::Draw { number, draws } => {
-                let draws = draws.into_iter();
-                let draws = draws.map(|draw| (draw.team, draw.shard.0, draw.wanted)).collect();
+            message::rate_limit::Message::Request { number, requests } => {
+                let requests = requests.into_iter();
+                let draws = requests
+                    .map(|request| (request.team, request.shard.0, request.wanted))
+                    .collect();
                 Message::Draw { number, draws }
             }
-            message::share::Message::Grant { number, grants } => {
+            message::rate_limit::Message::Grant { number, grants } => {
                 let grants = grants.into_iter();
                 let grants = grants.map(|grant| (grant.tokens, grant.next_in.0)).collect();
                 Message::Grant { number, grants }
             }
-            message::share::Message::Handover { roster, team, shard, level } => {
+            message::rate_limit::Message::Handover { roster, team, shard, level } => {
                 Message::Handover { roster: roster.0, team, shard: shard.0, level }
             }
         }
@@ -168,9 +170,11 @@
                 let revision = Revision(revision);
                 message::configuration::Message::Have { revision, rows: rows? }.into()
             }
-            Message::AskFreshness { number } => message::freshness::Message::Ask { number }.into(),
+            Message::AskFreshness { number } => {
+                message::freshness::Message::Query { number }.into()
+            }
             Message::TellFreshness { number, age, revision, fleet_age, roster } => {
-                message::freshness::Message::Tell {
+                message::freshness::Message::Reply {
                     number,
                     age: Millis(age),
                     revision: Revision(revision),
@@ -180,23 +184,25 @@
                 .into()
             }
             Message::Draw { number, draws } => {
-                let draw = |(team, shard, wanted)| message::share::Draw {
+                let request = |(team, shard, wanted)| message::rate_limit::LeaseRequest {
                     team,
                     shard: Shard(shard),
                     wanted,
                 };
-                let draws = draws.into_iter().map(draw).collect();
-                message::share::Message::Draw { number, draws }.into()
+                let requests = draws.into_iter().map(request).collect();
+                message::rate_limit::Message::Request { number, requests }.into()
             }
             Message::Grant { number, grants } => {
-                let grant =
-                    |(tokens, next_in)| message::share::Grant { tokens, next_in: Millis(next_in) };
+                let grant = |(tokens, next_in)| message::rate_limit::LeaseGrant {
+                    tokens,
+                    next_in: Millis(next_in),
+                };
                 let grants = grants.into_iter().map(grant).collect();
-                message::share::Message::Grant { number, grants }.into()
+                message::rate_limit::Message::Grant { number, grants }.into()
             }
             Message::Handover { roster, team, shard, level } => {
                 let (roster, shard) = (StoreVersion(roster), Shard(shard));
-                message::share::Message::Handover { roster, team, shard, level }.into()
+                message::rate_limit::Message::Handover { roster, team, shard, level }.into()
             }
             Message::Costs(costs) => {
                 let costs = costs.into_iter().map(message::pressure::Cost::from).collect();
--- a/crates/mustardpin-wire/tests/testsuite/message.rs
+++ b/crates/mustardpin-wire/tests/testsuite/message.rs
@@ -4,7 +4,7 @@
 use mustardpin_world::{
     Millis,
     id::{NodeId, Revision, StoreVersion},
-    message::{self, configuration, fleet, freshness, pressure, quarantine, share},
+    message::{self, configuration, fleet, freshness, pressure, quarantine, rate_limit},
     request::Fingerprint,
     store::Announcement,
 };
@@ -19,7 +19,8 @@
         service: "ledger".into(),
         address: "127.0.0.1:7101".into(),
     };
-    let draw = share::Draw { team: "garages".into(), shard: share::Shard(3), wanted: 7 };
+    let request =
+        rate_limit::LeaseRequest { team: "garages".into(), shard: rate_limit::Shard(3), wanted: 7 };
     let cost = pressure::Cost {
         route: "book".into(),
         hold: Millis(90),
@@ -29,8 +30,8 @@
         fleet::Message::Known(vec![announcement]).into(),
         configuration::Message::Want { after: Revision(4) }.into(),
         configuration::Message::Have { revision: Revision(5), rows: configuration() }.into(),
-        freshness::Message::Ask { number: 6 }.into(),
-        freshness::Message::Tell {
+        freshness::Message::Query { number: 6 }.into(),
+        freshness::Message::Reply {
             number: 6,
             age: Millis(800),
             revision: Revision(5),
@@ -38,16 +39,16 @@
             roster: StoreVersion(3),
         }
         .into(),
-        share::Message::Draw { number: 8, draws: vec![draw] }.into(),
-        share::Message::Grant {
+        rate_limit::Message::Request { number: 8, requests: vec![request] }.into(),
+        rate_limit::Message::Grant {
             number: 8,
-            grants: vec![share::Grant { tokens: 5, next_in: Millis(20) }],
+            grants: vec![rate_limit::LeaseGrant { tokens: 5, next_in: Millis(20) }],
         }
         .into(),
-        share::Message::Handover {
+        rate_limit::Message::Handover {
             roster: StoreVersion(3),
             team: "garages".into(),
-            shard: share::Shard(1),
+            shard: rate_limit::Shard(1),
             level: 1_500_000,
         }
         .into(),
--- a/crates/mustardpin-world/benches/decision.rs
+++ b/crates/mustardpin-world/benches/decision.rs
@@ -11,7 +11,7 @@
     config::{Importance, Key, Route, Row, Team},
     event::TargetReport,
     id::{KeyDigest, NodeId, StoreVersion},
-    options::{LimitAlgorithm, Sharing},
+    options::{LimitAlgorithm, RateLimitPolicy},
     request::{Fingerprint, ForwardEnd, Load, Origin, Request, RunEnd, Ticket},
     store::{self, Announcement, Area, Changes, Member, Operation, Reply, Roster, RowKey, Value},
 };
@@ -103,7 +103,7 @@
         let identity = Identity { announcement: announcement(1, "search") };
         let mut options = Options::default();
         options.limit.algorithm = LimitAlgorithm::Unlimited;
-        options.rating.sharing = Sharing::Even;
+        options.rate_limit.policy = RateLimitPolicy::Even;
         let world = World::new(identity, options, 42);
         let report = TargetReport { healthy: true, ..TargetReport::default() };
         let (now, due) = (Millis::ZERO, vec![Event::Target(report)]);
--- a/crates/mustardpin-world/src/message.rs
+++ b/crates/mustardpin-world/src/message.rs
@@ -5,7 +5,7 @@
 pub mod freshness;
 pub mod pressure;
 pub mod quarantine;
-pub mod share;
+pub mod rate_limit;
 
 use derive_more::From;
 
@@ -20,7 +20,7 @@
     /// How old knowledge is.
     Freshness(freshness::Message),
     /// Rate tokens.
-    Share(share::Message),
+    RateLimit(rate_limit::Message),
     /// What services cost and how much they are asked for.
     Pressure(pressure::Message),
     /// Requests that crash targets.
--- a/crates/mustardpin-world/src/message/freshness.rs
+++ b/crates/mustardpin-world/src/message/freshness.rs
@@ -9,12 +9,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Message {
     /// Asks how old the receiver's knowledge is.
-    Ask {
+    Query {
         /// Matches the answer. Chosen by the sender.
         number: u64,
     },
     /// How old the sender's knowledge is.
-    Tell {
+    Reply {
         /// The number of the question.
         number: u64,
         /// The age of its knowledge of the configuration.
--- a/crates/mustardpin-world/src/message/share.rs
+++ b/crates/mustardpin-world/src/message/rate_limit.rs
@@ -10,7 +10,7 @@
 
 /// Tokens that a node would like to have.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Draw {
+pub struct LeaseRequest {
     /// The team's name.
     pub team: CompactString,
     /// Which part of the team's rate.
@@ -21,7 +21,7 @@
 
 /// A keeper's answer to a draw, in the same place of its list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// How many tokens.
     pub tokens: u32,
     /// If fewer than wanted: when the next token is due, from now.
@@ -32,18 +32,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// Asks a keeper for tokens.
-    Draw {
+    Request {
         /// Matches the grants. Chosen by the sender.
         number: u64,
         /// What is asked for.
-        draws: Vec<Draw>,
+        requests: Vec<LeaseRequest>,
     },
     /// A keeper's reply. The tokens have left its buckets; if this message is lost, so are they.
     Grant {
         /// The number of the draws.
         number: u64,
         /// What is granted.
-        grants: Vec<Grant>,
+        grants: Vec<LeaseGrant>,
     },
     /// A keeper that lost a shard in a new roster passes its bucket on.
     Handover {
--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -26,7 +26,7 @@
     /// Options of the quarantine system.
     pub quarantine: Quarantine,
     /// Options of the rating system.
-    pub rating: Rating,
+    pub rate_limit: RateLimit,
     /// Options of the stop system.
     pub stop: Stop,
     /// Options of the target system.
@@ -302,19 +302,19 @@
 
 /// How a team's rate is shared between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Sharing {
+pub enum RateLimitPolicy {
     /// Keepers hold parts of the rate; nodes draw from them what their requests need.
     #[default]
-    Keepers,
+    Sharded,
     /// Each member of the roster has the same part of the rate. A baseline for measurements.
     Even,
 }
 
 /// Options of the rating system.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Rating {
+pub struct RateLimit {
     /// How a team's rate is shared between nodes.
-    pub sharing: Sharing,
+    pub policy: RateLimitPolicy,
     /// A team's rate is split into at most this many shards.
     pub max_shards: u8,
     /// Tokens are drawn ahead for the demand of this length of time.
@@ -325,11 +325,11 @@
     pub reply_within: Millis,
 }
 
-impl Default for Rating {
-    fn default() -> Rating {
-        Rating {
-            sharing: Sharing::Keepers,
-            max_shards: crate::table::share::MAX_SHARDS,
+impl Default for RateLimit {
+    fn default() -> RateLimit {
+        RateLimit {
+            policy: RateLimitPolicy::Sharded,
+            max_shards: crate::table::rate_limit::MAX_SHARDS,
             horizon: Millis(250),
             patience: Millis(100),
             reply_within: Millis(200),
--- a/crates/mustardpin-world/src/system.rs
+++ b/crates/mustardpin-world/src/system.rs
@@ -14,7 +14,7 @@
 mod proposal;
 mod quarantine;
 mod queueing;
-mod rating;
+mod rate_limit;
 mod registration;
 mod resend;
 mod retry;
@@ -50,7 +50,7 @@
     pub(crate) proposal: proposal::State,
     pub(crate) quarantine: quarantine::State,
     pub(crate) queueing: queueing::State,
-    pub(crate) rating: rating::State,
+    pub(crate) rate_limit: rate_limit::State,
     pub(crate) registration: registration::State,
     pub(crate) retry: retry::State,
     pub(crate) roster: roster::State,
@@ -70,7 +70,7 @@
             proposal: proposal::State::default(),
             quarantine: quarantine::State::default(),
             queueing: queueing::State::new(&options.queueing),
-            rating: rating::State::default(),
+            rate_limit: rate_limit::State::default(),
             registration: registration::State::default(),
             retry: retry::State::new(&options.retry),
             roster: roster::State::default(),
@@ -109,7 +109,7 @@
     pub(crate) fleet: Vec<(NodeId, message::fleet::Message)>,
     pub(crate) configuration: Vec<(NodeId, message::configuration::Message)>,
     pub(crate) freshness: Vec<(NodeId, message::freshness::Message)>,
-    pub(crate) share: Vec<(NodeId, message::share::Message)>,
+    pub(crate) rate_limits: Vec<(NodeId, message::rate_limit::Message)>,
     pub(crate) pressure: Vec<(NodeId, message::pressure::Message)>,
     pub(crate) quarantine: Vec<(NodeId, message::quarantine::Message)>,
     pub(crate) store: Vec<(store::Ticket, store::Reply)>,
@@ -165,7 +165,7 @@
             Message::Fleet(message) => self.fleet.push((from, message)),
             Message::Configuration(message) => self.configuration.push((from, message)),
             Message::Freshness(message) => self.freshness.push((from, message)),
-            Message::Share(message) => self.share.push((from, message)),
+            Message::RateLimit(message) => self.rate_limits.push((from, message)),
             Message::Pressure(message) => self.pressure.push((from, message)),
             Message::Quarantine(message) => self.quarantine.push((from, message)),
         }
@@ -202,7 +202,7 @@
     ending::run(world, tick);
     deadline::run(world, tick);
     intake::run(world, tick);
-    rating::run(world, tick);
+    rate_limit::run(world, tick);
     routing::run(world, tick);
     quarantine::run(world, tick);
     queueing::run(world, tick);
--- a/crates/mustardpin-world/src/system/freshness/relay.rs
+++ b/crates/mustardpin-world/src/system/freshness/relay.rs
@@ -31,8 +31,8 @@
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for (from, message) in std::mem::take(&mut tick.inbox.freshness) {
         match message {
-            Message::Ask { number } => tell(world, tick, from, number),
-            Message::Tell { .. } => told(world, from, message),
+            Message::Query { number } => tell(world, tick, from, number),
+            Message::Reply { .. } => told(world, from, message),
         }
     }
     ask(world, tick);
@@ -40,7 +40,7 @@
 
 fn tell(world: &mut World, tick: &mut Tick, to: NodeId, number: u64) {
     let tables = &world.tables;
-    let message = Message::Tell {
+    let message = Message::Reply {
         number,
         age: tables.freshness.configuration_age(tick.now),
         revision: tables.configuration.revision,
@@ -51,7 +51,7 @@
 }
 
 fn told(world: &mut World, from: NodeId, message: Message) {
-    let Message::Tell { number, age, revision, fleet_age, roster } = message else { return };
+    let Message::Reply { number, age, revision, fleet_age, roster } = message else { return };
     let Some((_, sent)) = world.systems.freshness.relay.asked.filter(|asked| asked.0 == number)
     else {
         return;
@@ -91,5 +91,5 @@
     relay.next = tick.now + ASK_PERIOD;
     tick.wake(relay.next);
     let number = relay.last_number;
-    world.send(tick, peer, Message::Ask { number });
+    world.send(tick, peer, Message::Query { number });
 }
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -204,7 +204,7 @@
 fn open(world: &mut World, tick: &mut Tick, request: Request, arrival: Arrival) {
     let is_root = arrival.from.is_none() && !arrival.nesting.is_nested();
     let charged = is_root && arrival.team.is_some();
-    let stage = if charged { Stage::Rating } else { Stage::Routing };
+    let stage = if charged { Stage::RateLimit } else { Stage::Routing };
     let call = Call {
         ticket: request.ticket,
         is_logged: log::is_sampled(&request.id, world.options.logging.one_in),
--- a/crates/mustardpin-world/src/system/rating/drawing.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/leasing.rs
@@ -5,17 +5,17 @@
 use crate::{
     clock::Millis,
     id::{CallKey, PeerKey, TeamKey},
-    message::share::{self, Draw, Grant, Shard},
+    message::rate_limit::{self as message, LeaseGrant, LeaseRequest, Shard},
     refusal::{Reason, Refusal},
     request::Verdict,
     system::{
         finish,
-        rating::{keeping, policy, terms},
+        rate_limit::{ownership, policy, terms},
     },
     table::{
         call::{Calls, Stage},
         peer::Link,
-        share::{Keeper, Stock, Terms},
+        rate_limit::{BucketParameters, ShardOwner, TokenCache},
     },
     world::{Tick, World},
 };
@@ -55,7 +55,7 @@
     /// Messages without a reply yet.
     drawn: BTreeMap<u64, Drawn>,
     /// Draws of this tick, by keeper.
-    outbox: BTreeMap<PeerKey, Vec<(TeamKey, Draw)>>,
+    outbox: BTreeMap<PeerKey, Vec<(TeamKey, LeaseRequest)>>,
     /// Teams to look at in this tick.
     due: Vec<TeamKey>,
     /// Teams with calls that wait.
@@ -67,32 +67,32 @@
 }
 
 /// A keeper granted tokens, or none.
-pub(super) fn granted(world: &mut World, now: Millis, number: u64, grants: &[Grant]) {
-    let Some(drawn) = world.systems.rating.drawing.drawn.remove(&number) else { return };
+pub(super) fn granted(world: &mut World, now: Millis, number: u64, grants: &[LeaseGrant]) {
+    let Some(drawn) = world.systems.rate_limit.leasing.drawn.remove(&number) else { return };
     for (&(team, shard), grant) in drawn.shards.iter().zip(grants) {
         let Some(terms) = terms(world, team) else { continue };
-        let Some(stock) = world.tables.shares.stocks.get_mut(team) else { continue };
-        let Some(source) = stock.sources.get_mut(usize::from(shard.0)) else { continue };
+        let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { continue };
+        let Some(source) = stock.shard_states.get_mut(usize::from(shard.0)) else { continue };
         if source.pending.is_some_and(|(pending, _)| pending == number) {
             source.pending = None;
         }
         source.unreachable = false;
         if grant.tokens == 0 {
-            source.quiet_until = now + grant.next_in.max(EMPTY_WAIT);
+            source.backoff_until = now + grant.next_in.max(EMPTY_WAIT);
         } else {
-            stock.lots.push_back((drawn.sent + terms.hold, grant.tokens));
+            stock.leases.push_back((drawn.sent + terms.lease_duration, grant.tokens));
         }
-        world.systems.rating.drawing.due.push(team);
+        world.systems.rate_limit.leasing.due.push(team);
     }
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    world.systems.rating.drawing.started.get_or_insert(tick.now);
-    for call in world.tables.calls.take(Stage::Rating) {
+    world.systems.rate_limit.leasing.started.get_or_insert(tick.now);
+    for call in world.tables.calls.take(Stage::RateLimit) {
         admit(world, tick.now, call);
     }
     smooth_demand(world, tick.now);
-    let state = &mut world.systems.rating.drawing;
+    let state = &mut world.systems.rate_limit.leasing;
     let mut due = std::mem::take(&mut state.due);
     due.append(&mut state.waiting);
     due.sort_unstable();
@@ -109,25 +109,25 @@
 /// Puts a call in line for a token of its team.
 fn admit(world: &mut World, now: Millis, call: CallKey) {
     let Some(team) = world.tables.calls.get(call).and_then(|call| call.team) else { return };
-    let Some(entry) = world.tables.shares.stocks.entry(team) else { return };
+    let Some(entry) = world.tables.rate_limits.token_caches.entry(team) else { return };
     let stock = entry.or_default();
     stock.arrived += 1;
     stock.last_request = now;
     stock.waiting.push_back(call);
-    world.systems.rating.drawing.due.push(team);
+    world.systems.rate_limit.leasing.due.push(team);
 }
 
 /// Brings the demand of all teams up to date, and looks at each of them.
 fn smooth_demand(world: &mut World, now: Millis) {
-    let state = &mut world.systems.rating.drawing;
+    let state = &mut world.systems.rate_limit.leasing;
     let elapsed = now - state.smoothed;
     if elapsed < SMOOTHING_PERIOD {
         return;
     }
     state.smoothed = now;
-    let idle = |stock: &Stock| stock.waiting.is_empty() && now - stock.last_request > IDLE;
-    world.tables.shares.stocks.retain(|_, stock| !idle(stock));
-    for (team, stock) in &mut world.tables.shares.stocks {
+    let idle = |stock: &TokenCache| stock.waiting.is_empty() && now - stock.last_request > IDLE;
+    world.tables.rate_limits.token_caches.retain(|_, stock| !idle(stock));
+    for (team, stock) in &mut world.tables.rate_limits.token_caches {
         let latest = f64::from(stock.arrived) * 1_000.0 / elapsed.0 as f64;
         stock.demand += (latest - stock.demand) * SMOOTHING_WEIGHT;
         stock.arrived = 0;
@@ -137,10 +137,10 @@
 
 /// Lets all calls of a team through that has no limit, or has gone: the check of the key follows.
 fn release(world: &mut World, now: Millis, team: TeamKey) {
-    let Some(stock) = world.tables.shares.stocks.remove(team) else { return };
+    let Some(stock) = world.tables.rate_limits.token_caches.remove(team) else { return };
     for call in stock.waiting {
         let is_waiting =
-            world.tables.calls.get(call).is_some_and(|call| call.stage == Stage::Rating);
+            world.tables.calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit);
         if is_waiting {
             world.tables.calls.advance(call, Stage::Routing, now);
         }
@@ -148,24 +148,24 @@
 }
 
 /// Spends what there is of a team's tokens, draws what is lacking, and refuses what waits too long.
-fn serve(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &Terms) {
+fn serve(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &BucketParameters) {
     find_keepers(world, team, terms);
     spend(world, tick.now, team);
     draw(world, tick, team, terms);
     spend(world, tick.now, team);
     refuse(world, tick, team, terms);
-    let Some(stock) = world.tables.shares.stocks.get(team) else { return };
+    let Some(stock) = world.tables.rate_limits.token_caches.get(team) else { return };
     if !stock.waiting.is_empty() {
-        world.systems.rating.drawing.waiting.push(team);
+        world.systems.rate_limit.leasing.waiting.push(team);
         tick.wake(tick.now + EMPTY_WAIT);
     }
 }
 
 fn spend(world: &mut World, now: Millis, team: TeamKey) {
-    let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return };
+    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
     let calls = &mut world.tables.calls;
     while let Some(&call) = stock.waiting.front() {
-        let is_waiting = calls.get(call).is_some_and(|call| call.stage == Stage::Rating);
+        let is_waiting = calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit);
         if is_waiting && !stock.spend(now) {
             return;
         }
@@ -177,24 +177,24 @@
 }
 
 /// Brings a stock's list of keepers up to date with the roster and the team's terms.
-fn find_keepers(world: &mut World, team: TeamKey, terms: &Terms) {
+fn find_keepers(world: &mut World, team: TeamKey, terms: &BucketParameters) {
     let roster = world.tables.roster.version;
-    let Some(stock) = world.tables.shares.stocks.get(team) else { return };
-    if stock.keepers_roster == roster && stock.sources.len() == usize::from(terms.shards) {
+    let Some(stock) = world.tables.rate_limits.token_caches.get(team) else { return };
+    if stock.owners_roster == roster && stock.shard_states.len() == usize::from(terms.shards) {
         return;
     }
     let keepers = keepers_by_nearness(world, team, terms);
-    let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return };
-    stock.keepers = keepers;
-    stock.keepers_roster = roster;
-    stock.sources.clear();
-    stock.sources.resize_with(usize::from(terms.shards), Default::default);
+    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
+    stock.owners = keepers;
+    stock.owners_roster = roster;
+    stock.shard_states.clear();
+    stock.shard_states.resize_with(usize::from(terms.shards), Default::default);
 }
 
 /// A team's shards with their keepers, the own ones first, then those in the own data centre.
-fn keepers_by_nearness(world: &World, team: TeamKey, terms: &Terms) -> Vec<Keeper> {
+fn keepers_by_nearness(world: &World, team: TeamKey, terms: &BucketParameters) -> Vec<ShardOwner> {
     let (roster, own) = (&world.tables.roster, &world.identity);
-    let policy = policy::of(&world.options.rating);
+    let policy = policy::of(&world.options.rate_limit);
     let Some(team) = world.tables.teams.get(team).map(|team| &team.name) else {
         return Vec::new();
     };
@@ -203,13 +203,13 @@
     let mut keepers: Vec<_> = (0..terms.shards)
         .map(Shard)
         .filter_map(|shard| {
-            let (data_centre, name) = policy.keeper(roster, own, team, shard)?;
+            let (data_centre, name) = policy.shard_owner(roster, own, team, shard)?;
             let is_own = name == own.name();
             let is_near = data_centre == own.data_centre();
             // Nodes begin with different shards, so that none is emptied by all.
             let turn = (u64::from(shard.0) + rotation) % shards;
-            let place = (!is_own).then(|| name.clone());
-            Some(((!is_own, Reverse(is_near), turn), Keeper { shard, place }))
+            let member = (!is_own).then(|| name.clone());
+            Some(((!is_own, Reverse(is_near), turn), ShardOwner { shard, member }))
         })
         .collect();
     keepers.sort_by_key(|(nearness, _)| *nearness);
@@ -217,9 +217,9 @@
 }
 
 /// How many tokens the node lacks for the calls that wait and for the demand ahead.
-fn wanted(world: &mut World, now: Millis, team: TeamKey, terms: &Terms) -> u32 {
-    let horizon = world.options.rating.horizon.min(Millis(terms.hold.0 / 2));
-    let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return 0 };
+fn wanted(world: &mut World, now: Millis, team: TeamKey, terms: &BucketParameters) -> u32 {
+    let horizon = world.options.rate_limit.horizon.min(Millis(terms.lease_duration.0 / 2));
+    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return 0 };
     let ahead = if stock.demand < LEAST_DEMAND {
         0
     } else {
@@ -234,19 +234,21 @@
 }
 
 /// Draws what is lacking from the nearest keeper that may have it.
-fn draw(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &Terms) {
+fn draw(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &BucketParameters) {
     let mut missing = wanted(world, tick.now, team, terms);
     if missing == 0 {
         return;
     }
-    let reply_within = world.options.rating.reply_within;
-    let Some(count) = world.tables.shares.stocks.get(team).map(|stock| stock.keepers.len()) else {
+    let reply_within = world.options.rate_limit.reply_within;
+    let Some(count) =
+        world.tables.rate_limits.token_caches.get(team).map(|stock| stock.owners.len())
+    else {
         return;
     };
     for index in 0..count {
-        let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return };
-        let keeper = stock.keepers[index].clone();
-        let source = &mut stock.sources[usize::from(keeper.shard.0)];
+        let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
+        let keeper = stock.owners[index].clone();
+        let source = &mut stock.shard_states[usize::from(keeper.shard.0)];
         if let Some((_, sent)) = source.pending {
             let waited = tick.now - sent;
             if waited < HEDGE_AFTER {
@@ -255,17 +257,17 @@
             if waited >= reply_within {
                 source.pending = None;
                 source.unreachable = true;
-                source.quiet_until = tick.now + UNREACHABLE_WAIT;
+                source.backoff_until = tick.now + UNREACHABLE_WAIT;
             }
             continue;
         }
-        if source.quiet_until > tick.now {
+        if source.backoff_until > tick.now {
             continue;
         }
-        match keeper.place {
+        match keeper.member {
             None => missing -= draw_here(world, tick.now, team, keeper.shard, terms, missing),
-            Some(place) => {
-                if ask(world, tick.now, team, &place, keeper.shard, missing) {
+            Some(member) => {
+                if ask(world, tick.now, team, &member, keeper.shard, missing) {
                     return;
                 }
             }
@@ -282,18 +284,18 @@
     now: Millis,
     team: TeamKey,
     shard: Shard,
-    terms: &Terms,
+    terms: &BucketParameters,
     wanted: u32,
 ) -> u32 {
     let Some(name) = world.tables.teams.get(team).map(|team| team.name.clone()) else { return 0 };
-    let grant = keeping::grant(world, now, &name, shard, wanted);
-    let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return 0 };
+    let grant = ownership::grant(world, now, &name, shard, wanted);
+    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return 0 };
     if grant.tokens > 0 {
-        stock.lots.push_back((now + terms.hold.max(Millis(1)), grant.tokens));
+        stock.leases.push_back((now + terms.lease_duration.max(Millis(1)), grant.tokens));
     }
     if grant.tokens < wanted {
-        let source = &mut stock.sources[usize::from(shard.0)];
-        source.quiet_until = now + grant.next_in.max(EMPTY_WAIT);
+        let source = &mut stock.shard_states[usize::from(shard.0)];
+        source.backoff_until = now + grant.next_in.max(EMPTY_WAIT);
     }
     grant.tokens
 }
@@ -312,48 +314,50 @@
         .filter(|&keeper| world.tables.peers.get(keeper).is_some_and(|peer| peer.link == Link::Up));
     let name = world.tables.teams.get(team).map(|team| team.name.clone());
     let (Some(keeper), Some(name)) = (keeper, name) else {
-        if let Some(stock) = world.tables.shares.stocks.get_mut(team) {
-            let source = &mut stock.sources[usize::from(shard.0)];
+        if let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) {
+            let source = &mut stock.shard_states[usize::from(shard.0)];
             source.unreachable = true;
-            source.quiet_until = now + UNREACHABLE_WAIT;
+            source.backoff_until = now + UNREACHABLE_WAIT;
         }
         return false;
     };
-    let draw = Draw { team: name, shard, wanted };
-    world.systems.rating.drawing.outbox.entry(keeper).or_default().push((team, draw));
+    let draw = LeaseRequest { team: name, shard, wanted };
+    world.systems.rate_limit.leasing.outbox.entry(keeper).or_default().push((team, draw));
     true
 }
 
 /// Sends the draws of this tick, one message to each keeper.
 fn send_draws(world: &mut World, tick: &mut Tick) {
-    let reply_within = world.options.rating.reply_within;
-    let state = &mut world.systems.rating.drawing;
+    let reply_within = world.options.rate_limit.reply_within;
+    let state = &mut world.systems.rate_limit.leasing;
     state.drawn.retain(|_, drawn| tick.now < drawn.sent + reply_within);
     for (keeper, draws) in std::mem::take(&mut state.outbox) {
-        let state = &mut world.systems.rating.drawing;
+        let state = &mut world.systems.rate_limit.leasing;
         state.last_number += 1;
         let number = state.last_number;
         let shards: Vec<_> = draws.iter().map(|(team, draw)| (*team, draw.shard)).collect();
         for &(team, shard) in &shards {
-            if let Some(stock) = world.tables.shares.stocks.get_mut(team) {
-                stock.sources[usize::from(shard.0)].pending = Some((number, tick.now));
+            if let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) {
+                stock.shard_states[usize::from(shard.0)].pending = Some((number, tick.now));
             }
         }
         state.drawn.insert(number, Drawn { sent: tick.now, shards });
-        let draws = draws.into_iter().map(|(_, draw)| draw).collect();
-        world.send(tick, keeper, share::Message::Draw { number, draws });
+        let requests = draws.into_iter().map(|(_, draw)| draw).collect();
+        world.send(tick, keeper, message::Message::Request { number, requests });
     }
 }
 
 /// Refuses calls that have waited too long, and those beyond what the rate yields meanwhile.
-fn refuse(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &Terms) {
+fn refuse(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &BucketParameters) {
     let patience = patience(world, tick.now);
     let within_patience = u64::from(terms.rate) * patience.0 / 1_000 + 1;
     let refusal = refusal(world, tick.now, team);
-    let Some(stock) = world.tables.shares.stocks.get_mut(team) else { return };
+    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
     let calls = &world.tables.calls;
-    stock.waiting.retain(|&call| calls.get(call).is_some_and(|call| call.stage == Stage::Rating));
-    let dry = stock.sources.iter().all(|source| source.quiet_until > tick.now);
+    stock
+        .waiting
+        .retain(|&call| calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit));
+    let dry = stock.shard_states.iter().all(|source| source.backoff_until > tick.now);
     let mut refused = Vec::new();
     while let Some(&call) = stock.waiting.front() {
         let Some(row) = calls.get(call) else { break };
@@ -375,13 +379,13 @@
 /// How long a request may wait for a token. A node that has just started may not know the keepers
 /// yet, which is no reason to refuse.
 fn patience(world: &World, now: Millis) -> Millis {
-    let patience = world.options.rating.patience;
-    let started = world.systems.rating.drawing.started.unwrap_or(now);
+    let patience = world.options.rate_limit.patience;
+    let started = world.systems.rate_limit.leasing.started.unwrap_or(now);
     if now - started < STARTING { patience.max(START_PATIENCE) } else { patience }
 }
 
 /// Removes the least important of the waiting calls, the last one to arrive among equals.
-fn least_important(stock: &mut Stock, calls: &Calls) -> Option<CallKey> {
+fn least_important(stock: &mut TokenCache, calls: &Calls) -> Option<CallKey> {
     let rank = |call: CallKey| calls.get(call).map(|call| call.rank);
     let index = (0..stock.waiting.len())
         .min_by_key(|&index| (rank(stock.waiting[index]), Reverse(index)))?;
@@ -390,11 +394,12 @@
 
 /// What to tell a caller whose team has no tokens.
 fn refusal(world: &World, now: Millis, team: TeamKey) -> Refusal {
-    let Some(stock) = world.tables.shares.stocks.get(team) else {
+    let Some(stock) = world.tables.rate_limits.token_caches.get(team) else {
         return Refusal::not_run(Reason::RateUnavailable).after(UNREACHABLE_WAIT);
     };
-    let retry_at = stock.sources.iter().map(|source| source.quiet_until).min().unwrap_or(now);
-    let none_reachable = stock.sources.iter().all(|source| source.unreachable);
+    let retry_at =
+        stock.shard_states.iter().map(|source| source.backoff_until).min().unwrap_or(now);
+    let none_reachable = stock.shard_states.iter().all(|source| source.unreachable);
     let reason = if none_reachable { Reason::RateUnavailable } else { Reason::RateExceeded };
     Refusal::not_run(reason).after((retry_at - now).max(Millis(1)))
 }
--- a/crates/mustardpin-world/src/system/rating/keeping.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/ownership.rs
@@ -6,9 +6,9 @@
     clock::Millis,
     config::CutOffPolicy,
     id::{Revision, StoreVersion, TeamKey},
-    message::share::{self, Shard},
-    system::rating::{policy, terms},
-    table::share::{Bucket, Terms},
+    message::rate_limit::{self as message, Shard},
+    system::rate_limit::{policy, terms},
+    table::rate_limit::{Bucket, BucketParameters},
     world::{Tick, World},
 };
 
@@ -39,21 +39,21 @@
 /// revision of the configuration.
 pub(super) fn reconcile(world: &mut World, now: Millis) {
     let wanted = (world.tables.roster.version, world.tables.configuration.revision);
-    if world.systems.rating.keeping.reconciled == wanted {
+    if world.systems.rate_limit.ownership.reconciled == wanted {
         return;
     }
-    world.systems.rating.keeping.reconciled = wanted;
+    world.systems.rate_limit.ownership.reconciled = wanted;
     for (team, shard) in kept_shards(world) {
-        if world.tables.shares.bucket_mut(team, shard).is_some() {
+        if world.tables.rate_limits.bucket_mut(team, shard).is_some() {
             continue;
         }
         let usable_from = usable_from(world, team, now);
-        world.tables.shares.insert(Bucket { team, shard, level: 0, as_of: now, usable_from });
+        world.tables.rate_limits.insert(Bucket { team, shard, level: 0, as_of: now, usable_from });
     }
-    let (due, early) = std::mem::take(&mut world.systems.rating.keeping.early)
+    let (due, early) = std::mem::take(&mut world.systems.rate_limit.ownership.early)
         .into_iter()
         .partition(|handover| handover.roster <= wanted.0);
-    world.systems.rating.keeping.early = early;
+    world.systems.rate_limit.ownership.early = early;
     for handover in due {
         take_over(world, now, &handover);
     }
@@ -64,7 +64,7 @@
 /// own place, which has ended.
 fn usable_from(world: &World, team: TeamKey, now: Millis) -> Millis {
     let roster = &world.tables.roster;
-    if roster.is_settled { now } else { roster.learned + longest_use(world, team) }
+    if roster.is_settled { now } else { roster.learned_at + longest_use(world, team) }
 }
 
 /// For how long after its last news a node uses the roster that it knows for a team.
@@ -78,13 +78,13 @@
 
 /// The shards that this node keeps.
 fn kept_shards(world: &World) -> Vec<(TeamKey, Shard)> {
-    let policy = policy::of(&world.options.rating);
+    let policy = policy::of(&world.options.rate_limit);
     let (roster, own) = (&world.tables.roster, &world.identity);
     let mut kept = Vec::new();
     for (key, team) in world.tables.teams.iter() {
         let Some(terms) = terms(world, key) else { continue };
         for shard in (0..terms.shards).map(Shard) {
-            let keeper = policy.keeper(roster, own, &team.name, shard);
+            let keeper = policy.shard_owner(roster, own, &team.name, shard);
             if keeper.is_some_and(|(_, name)| name == own.name()) {
                 kept.push((key, shard));
             }
@@ -97,24 +97,24 @@
 /// node keeps now.
 pub(super) fn hand_over_lost(world: &mut World, tick: &mut Tick) {
     let version = world.tables.roster.version;
-    if world.tables.shares.buckets_roster == version {
+    if world.tables.rate_limits.buckets_roster == version {
         return;
     }
-    world.tables.shares.buckets_roster = version;
-    let policy = policy::of(&world.options.rating);
+    world.tables.rate_limits.buckets_roster = version;
+    let policy = policy::of(&world.options.rate_limit);
     let (roster, own) = (&world.tables.roster, &world.identity);
     let mut lost = Vec::new();
-    for bucket in world.tables.shares.buckets() {
+    for bucket in world.tables.rate_limits.buckets() {
         let team = world.tables.teams.get(bucket.team).map(|team| team.name.clone());
         let keeper =
-            team.as_deref().and_then(|team| policy.keeper(roster, own, team, bucket.shard));
+            team.as_deref().and_then(|team| policy.shard_owner(roster, own, team, bucket.shard));
         let keeper = keeper.map(|(_, name)| name.clone());
         if keeper.as_ref() != Some(own.name()) {
             lost.push((*bucket, team, keeper));
         }
     }
     for (mut bucket, team, keeper) in lost {
-        world.tables.shares.remove(bucket.team, bucket.shard);
+        world.tables.rate_limits.remove(bucket.team, bucket.shard);
         // Knowledge that is out of date may be older than a roster in between, by which another
         // node kept the shard.
         if tick.now < bucket.usable_from || !world.tables.freshness.fleet_fresh {
@@ -125,7 +125,7 @@
         let Some(keeper) = world.tables.peers.by_name(&keeper) else { continue };
         bucket.refresh(&terms, tick.now);
         let (roster, shard, level) = (version, bucket.shard, bucket.level);
-        world.send(tick, keeper, share::Message::Handover { roster, team, shard, level });
+        world.send(tick, keeper, message::Message::Handover { roster, team, shard, level });
     }
 }
 
@@ -136,18 +136,18 @@
     team: &str,
     shard: Shard,
     wanted: u32,
-) -> share::Grant {
-    let none = share::Grant { tokens: 0, next_in: NOT_KEEPER_WAIT };
+) -> message::LeaseGrant {
+    let none = message::LeaseGrant { tokens: 0, next_in: NOT_KEEPER_WAIT };
     let Some(team) = world.tables.teams.by_name(team) else { return none };
     let Some(terms) = usable_terms(world, now, team) else { return none };
-    let Some(bucket) = world.tables.shares.bucket_mut(team, shard) else { return none };
+    let Some(bucket) = world.tables.rate_limits.bucket_mut(team, shard) else { return none };
     let (tokens, next_in) = bucket.take(&terms, now, wanted);
-    share::Grant { tokens, next_in }
+    message::LeaseGrant { tokens, next_in }
 }
 
 /// A team's terms, unless this node must not give out its tokens at present, since another may
 /// keep them by now.
-fn usable_terms(world: &World, now: Millis, team: TeamKey) -> Option<Terms> {
+fn usable_terms(world: &World, now: Millis, team: TeamKey) -> Option<BucketParameters> {
     let is_usable = world.tables.freshness.fleet_age(now) < longest_use(world, team);
     if is_usable { terms(world, team) } else { None }
 }
@@ -156,8 +156,8 @@
 pub(super) fn handed_over(world: &mut World, now: Millis, handover: Handover) {
     let current = world.tables.roster.version;
     if handover.roster > current {
-        if world.systems.rating.keeping.early.len() < MAX_EARLY {
-            world.systems.rating.keeping.early.push(handover);
+        if world.systems.rate_limit.ownership.early.len() < MAX_EARLY {
+            world.systems.rate_limit.ownership.early.push(handover);
         }
         return;
     }
@@ -169,7 +169,7 @@
         return;
     }
     let Some(team) = world.tables.teams.by_name(&handover.team) else { return };
-    let Some(bucket) = world.tables.shares.bucket_mut(team, handover.shard) else { return };
+    let Some(bucket) = world.tables.rate_limits.bucket_mut(team, handover.shard) else { return };
     if now >= bucket.usable_from {
         return;
     }
--- a/crates/mustardpin-world/src/system/rating/policy.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/policy.rs
@@ -3,19 +3,19 @@
 use compact_str::CompactString;
 
 use crate::{
-    message::share::Shard,
-    options::{Rating, Sharing},
-    table::{roster::Roster, share::Terms},
+    message::rate_limit::Shard,
+    options::{RateLimit, RateLimitPolicy},
+    table::{rate_limit::BucketParameters, roster::Roster},
     world::Identity,
 };
 
 /// A way to share a team's rate.
 pub(super) trait Policy {
     /// How a rate, in tokens a second, and a burst, in tokens, are split.
-    fn terms(&self, rate: u32, burst: u32, roster: &Roster) -> Terms;
+    fn terms(&self, rate: u32, burst: u32, roster: &Roster) -> BucketParameters;
 
     /// The data centre and the name of the place that keeps a shard, as seen from a node.
-    fn keeper<'a>(
+    fn shard_owner<'a>(
         &self,
         roster: &'a Roster,
         node: &'a Identity,
@@ -25,31 +25,31 @@
 }
 
 /// The way that the options name.
-pub(super) fn of(options: &Rating) -> Box<dyn Policy> {
-    match options.sharing {
-        Sharing::Keepers => Box::new(Keepers { max_shards: options.max_shards }),
-        Sharing::Even => Box::new(Even),
+pub(super) fn of(options: &RateLimit) -> Box<dyn Policy> {
+    match options.policy {
+        RateLimitPolicy::Sharded => Box::new(Sharded { max_shards: options.max_shards }),
+        RateLimitPolicy::Even => Box::new(Even),
     }
 }
 
 /// Shards with a keeper each, found by rendezvous hashing.
-struct Keepers {
+struct Sharded {
     max_shards: u8,
 }
 
-impl Policy for Keepers {
-    fn terms(&self, rate: u32, burst: u32, _roster: &Roster) -> Terms {
-        Terms::sharded(rate, burst, self.max_shards)
+impl Policy for Sharded {
+    fn terms(&self, rate: u32, burst: u32, _roster: &Roster) -> BucketParameters {
+        BucketParameters::sharded(rate, burst, self.max_shards)
     }
 
-    fn keeper<'a>(
+    fn shard_owner<'a>(
         &self,
         roster: &'a Roster,
         _node: &'a Identity,
         team: &str,
         shard: Shard,
     ) -> Option<(&'a CompactString, &'a CompactString)> {
-        roster.keeper(team, shard)
+        roster.shard_owner(team, shard)
     }
 }
 
@@ -57,11 +57,11 @@
 struct Even;
 
 impl Policy for Even {
-    fn terms(&self, rate: u32, burst: u32, roster: &Roster) -> Terms {
-        Terms::even(rate, burst, roster.len())
+    fn terms(&self, rate: u32, burst: u32, roster: &Roster) -> BucketParameters {
+        BucketParameters::even(rate, burst, roster.len())
     }
 
-    fn keeper<'a>(
+    fn shard_owner<'a>(
         &self,
         roster: &'a Roster,
         node: &'a Identity,
--- a/crates/mustardpin-world/src/table.rs
+++ b/crates/mustardpin-world/src/table.rs
@@ -8,12 +8,12 @@
 pub mod health;
 pub mod latency;
 pub mod peer;
+pub mod rate_limit;
 pub mod registry;
 pub mod resend;
 pub mod roster;
 pub mod route;
 pub mod service;
-pub mod share;
 pub mod suspect;
 pub mod target;
 pub mod team;
@@ -37,7 +37,7 @@
     /// Other nodes.
     pub peers: peer::Peers,
     /// Root requests that failed a short time ago.
-    pub failed: resend::Failed,
+    pub failed: resend::FailedRequests,
     /// Among whom rates are dealt out.
     pub roster: roster::Roster,
     /// Routes.
@@ -45,7 +45,7 @@
     /// Services.
     pub services: service::Services,
     /// Rate tokens.
-    pub shares: share::Shares,
+    pub rate_limits: rate_limit::RateLimits,
     /// Requests that were running as a target crashed.
     pub suspects: suspect::Suspects,
     /// The own target.
--- a/crates/mustardpin-world/src/table/call.rs
+++ b/crates/mustardpin-world/src/table/call.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
     /// Waits for a token of its team's rate.
-    Rating,
+    RateLimit,
     /// Waits for a place to run.
     Routing,
     /// Waits for the check against requests that crash targets.
@@ -44,7 +44,7 @@
     /// ```
     pub const fn name(self) -> &'static str {
         match self {
-            Stage::Rating => "rating",
+            Stage::RateLimit => "rating",
             Stage::Routing => "routing",
             Stage::Screening => "screening",
             Stage::Queued => "queued",
--- a/crates/mustardpin-world/src/table/share.rs
+++ b/crates/mustardpin-world/src/table/rate_limit.rs
@@ -2,7 +2,7 @@
 //! arrive.
 //!
 //! A team's rate and burst are split evenly over its shards. Tokens drawn from a bucket expire
-//! after the team's [`Terms::hold`]; the buckets are smaller than the burst by what may be held,
+//! after the team's [`BucketParameters::hold`]; the buckets are smaller than the burst by what may be held,
 //! so that over any interval no more is spent than the burst and the rate allow.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -14,7 +14,7 @@
 use crate::{
     clock::Millis,
     id::{CallKey, StoreVersion, TeamKey},
-    message::share::Shard,
+    message::rate_limit::Shard,
 };
 
 /// One token, in the unit of levels. A rate of one a second adds a thousandth of it each
@@ -29,7 +29,7 @@
 
 /// How a team's rate and burst are split.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct BucketParameters {
     /// The team's rate, in tokens a second.
     pub rate: u32,
     /// Into how many parts the rate is split.
@@ -39,10 +39,10 @@
     /// The most a part's bucket holds, in millionths of a token.
     pub capacity: u64,
     /// How long a drawn token may be held before it is spent.
-    pub hold: Millis,
+    pub lease_duration: Millis,
 }
 
-impl Terms {
+impl BucketParameters {
     /// The terms that follow from a team's rate, in tokens a second, and its burst, in tokens, if
     /// they are split into at most so many shards.
     ///
@@ -50,34 +50,40 @@
     /// tokens that are held outside their buckets.
     ///
     /// ```
-    /// use mustardpin_world::{Millis, table::share::{TOKEN, Terms}};
+    /// use mustardpin_world::{Millis, table::rate_limit::{TOKEN, BucketParameters}};
     ///
-    /// let terms = Terms::sharded(100, 400, 8);
-    /// assert_eq!((terms.shards, terms.hold), (8, Millis(1_000)));
+    /// let terms = BucketParameters::sharded(100, 400, 8);
+    /// assert_eq!((terms.shards, terms.lease_duration), (8, Millis(1_000)));
     /// assert_eq!(u64::from(terms.parts) * terms.capacity, 300 * TOKEN);
     /// ```
-    pub fn sharded(rate: u32, burst: u32, max_shards: u8) -> Terms {
+    pub fn sharded(rate: u32, burst: u32, max_shards: u8) -> BucketParameters {
         let burst = u64::from(burst) * TOKEN;
         let per_ms = u64::from(rate).max(1) * (TOKEN / 1_000);
         let spare = (burst / 2).min(burst.saturating_sub(TOKEN));
-        let hold = Millis((spare / per_ms).min(MAX_HOLD.0));
-        let total = burst - hold.0 * per_ms;
+        let lease_duration = Millis((spare / per_ms).min(MAX_HOLD.0));
+        let total = burst - lease_duration.0 * per_ms;
         let fitting = (total / (2 * TOKEN)).clamp(1, u64::from(max_shards.max(1)));
         let shards = 1_u8 << fitting.ilog2();
         let parts = u32::from(shards);
-        Terms { rate, parts, shards, capacity: total / u64::from(shards), hold }
+        BucketParameters {
+            rate,
+            parts,
+            shards,
+            capacity: total / u64::from(shards),
+            lease_duration,
+        }
     }
 
     /// The terms if every member of the roster spends an equal part of the rate by itself.
     ///
     /// ```
-    /// use mustardpin_world::table::share::{TOKEN, Terms};
-    /// assert_eq!(Terms::even(100, 400, 4).capacity, 100 * TOKEN);
+    /// use mustardpin_world::table::rate_limit::{TOKEN, BucketParameters};
+    /// assert_eq!(BucketParameters::even(100, 400, 4).capacity, 100 * TOKEN);
     /// ```
-    pub fn even(rate: u32, burst: u32, members: usize) -> Terms {
+    pub fn even(rate: u32, burst: u32, members: usize) -> BucketParameters {
         let parts = members.max(1) as u32;
         let capacity = u64::from(burst) * TOKEN / u64::from(parts);
-        Terms { rate, parts, shards: 1, capacity, hold: Millis(1) }
+        BucketParameters { rate, parts, shards: 1, capacity, lease_duration: Millis(1) }
     }
 
     /// What a part's bucket gains in a length of time, in millionths of a token.
@@ -114,7 +120,7 @@
 impl Bucket {
     /// Takes up to `wanted` whole tokens out. Returns how many, and when the next one is due if
     /// those were fewer than wanted.
-    pub fn take(&mut self, terms: &Terms, now: Millis, wanted: u32) -> (u32, Millis) {
+    pub fn take(&mut self, terms: &BucketParameters, now: Millis, wanted: u32) -> (u32, Millis) {
         self.refresh(terms, now);
         if now < self.usable_from {
             return (0, self.usable_from - now);
@@ -126,7 +132,7 @@
     }
 
     /// Brings the level up to date.
-    pub fn refresh(&mut self, terms: &Terms, now: Millis) {
+    pub fn refresh(&mut self, terms: &BucketParameters, now: Millis) {
         let since = self.as_of.max(self.usable_from);
         if now > since {
             self.level = self.level.saturating_add(terms.gain(now - since));
@@ -143,9 +149,9 @@
 
 /// What a node knows of a shard from drawing on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Source {
+pub struct ShardState {
     /// No draw is worth sending before this point.
-    pub quiet_until: Millis,
+    pub backoff_until: Millis,
     /// Whether the keeper, rather than the bucket, is why.
     pub unreachable: bool,
     /// The message with the draw that has no reply yet, and when it was sent.
@@ -154,18 +160,18 @@
 
 /// Who keeps a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Keeper {
+pub struct ShardOwner {
     /// The shard.
     pub shard: Shard,
     /// The place that keeps it; `None` stands for this node.
-    pub place: Option<CompactString>,
+    pub member: Option<CompactString>,
 }
 
 /// Tokens of one team that a node has drawn, and the calls that wait for more.
 #[derive(Debug, Clone, Default)]
-pub struct Stock {
+pub struct TokenCache {
     /// Tokens by when they expire, oldest first.
-    pub lots: VecDeque<(Millis, u32)>,
+    pub leases: VecDeque<(Millis, u32)>,
     /// Calls that wait for a token, in order of arrival.
     pub waiting: VecDeque<CallKey>,
     /// Smoothed demand in requests a second.
@@ -175,20 +181,20 @@
     /// When the team last had a request here.
     pub last_request: Millis,
     /// The keepers of the team's shards, the nearest first, as of `keepers_roster`.
-    pub keepers: Vec<Keeper>,
+    pub owners: Vec<ShardOwner>,
     /// The version of the roster by which the keepers were found.
-    pub keepers_roster: StoreVersion,
+    pub owners_roster: StoreVersion,
     /// What the node knows of each shard.
-    pub sources: SmallVec<[Source; MAX_SHARDS as usize]>,
+    pub shard_states: SmallVec<[ShardState; MAX_SHARDS as usize]>,
 }
 
-impl Stock {
+impl TokenCache {
     /// Drops expired tokens and returns how many are left.
     pub fn tokens(&mut self, now: Millis) -> u32 {
-        while self.lots.front().is_some_and(|&(expires, _)| expires <= now) {
-            self.lots.pop_front();
+        while self.leases.front().is_some_and(|&(expires, _)| expires <= now) {
+            self.leases.pop_front();
         }
-        self.lots.iter().map(|&(_, tokens)| tokens).sum()
+        self.leases.iter().map(|&(_, tokens)| tokens).sum()
     }
 
     /// Spends one token, the one that expires first. Returns whether there was one.
@@ -196,10 +202,10 @@
         if self.tokens(now) == 0 {
             return false;
         }
-        if let Some((_, tokens)) = self.lots.front_mut() {
+        if let Some((_, tokens)) = self.leases.front_mut() {
             *tokens -= 1;
             if *tokens == 0 {
-                self.lots.pop_front();
+                self.leases.pop_front();
             }
         }
         true
@@ -208,16 +214,16 @@
 
 /// The tables of buckets and stocks.
 #[derive(Debug, Default)]
-pub struct Shares {
+pub struct RateLimits {
     buckets: SlotMap<BucketKey, Bucket>,
     by_shard: BTreeMap<(TeamKey, Shard), BucketKey>,
     /// The version of the roster for which buckets of lost shards were given up.
     pub buckets_roster: StoreVersion,
     /// The node's stock of each team's tokens.
-    pub stocks: SecondaryMap<TeamKey, Stock>,
+    pub token_caches: SecondaryMap<TeamKey, TokenCache>,
 }
 
-impl Shares {
+impl RateLimits {
     /// Adds a bucket, in place of one of the same shard.
     pub fn insert(&mut self, bucket: Bucket) {
         self.remove(bucket.team, bucket.shard);
--- a/crates/mustardpin-world/src/table/resend.rs
+++ b/crates/mustardpin-world/src/table/resend.rs
@@ -12,7 +12,7 @@
 
 /// A root request that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Row {
+pub struct FailedRequest {
     /// When it last failed.
     pub at: Millis,
     /// How often it was sent again.
@@ -21,16 +21,16 @@
 
 /// The table of failed root requests, by the hash of what makes two requests the same.
 #[derive(Debug, Default)]
-pub struct Failed {
-    rows: HashMap<u64, Row, RandomState>,
+pub struct FailedRequests {
+    rows: HashMap<u64, FailedRequest, RandomState>,
     order: VecDeque<(Millis, u64)>,
     tokens: SecondaryMap<TeamKey, f64>,
 }
 
-impl Failed {
+impl FailedRequests {
     /// Adds a failure.
     pub fn put(&mut self, identity: u64, at: Millis) {
-        self.rows.entry(identity).or_insert(Row { at, resends: 0 }).at = at;
+        self.rows.entry(identity).or_insert(FailedRequest { at, resends: 0 }).at = at;
         self.order.push_back((at, identity));
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// The failed request, if it is remembered.
-    pub fn get_mut(&mut self, identity: u64) -> Option<&mut Row> {
+    pub fn get_mut(&mut self, identity: u64) -> Option<&mut FailedRequest> {
         self.rows.get_mut(&identity)
     }
 
--- a/crates/mustardpin-world/src/table/roster.rs
+++ b/crates/mustardpin-world/src/table/roster.rs
@@ -10,7 +10,7 @@
     clock::Millis,
     hash,
     id::StoreVersion,
-    message::share::Shard,
+    message::rate_limit::Shard,
     store::{self, Member},
 };
 
@@ -20,7 +20,7 @@
     /// The version of its row in the store; zero if it was never written.
     pub version: StoreVersion,
     /// When this node learned of it.
-    pub learned: Millis,
+    pub learned_at: Millis,
     /// Whether it was there when this node first read the store, rather than changed since.
     pub is_settled: bool,
     /// The members by data centre, each list in the order of names.
@@ -32,7 +32,7 @@
     pub fn replace(&mut self, version: StoreVersion, roster: &store::Roster, now: Millis) {
         self.is_settled = self.version == StoreVersion(0);
         self.version = version;
-        self.learned = now;
+        self.learned_at = now;
         self.by_data_centre.clear();
         let mut members: Vec<&Member> = roster.members.iter().collect();
         members.sort();
@@ -79,10 +79,14 @@
     /// them when it is cut off from the others.
     ///
     /// ```
-    /// use mustardpin_world::{message::share::Shard, table::roster::Roster};
-    /// assert!(Roster::default().keeper("garages", Shard(0)).is_none());
+    /// use mustardpin_world::{message::rate_limit::Shard, table::roster::Roster};
+    /// assert!(Roster::default().shard_owner("garages", Shard(0)).is_none());
     /// ```
-    pub fn keeper(&self, team: &str, shard: Shard) -> Option<(&CompactString, &CompactString)> {
+    pub fn shard_owner(
+        &self,
+        team: &str,
+        shard: Shard,
+    ) -> Option<(&CompactString, &CompactString)> {
         let team = hash::of_bytes(team.as_bytes());
         let count = self.by_data_centre.len() as u64;
         if count == 0 {
--- a/crates/mustardpin-world/tests/testsuite/main.rs
+++ b/crates/mustardpin-world/tests/testsuite/main.rs
@@ -1,3 +1,3 @@
 //! Tests of the world's parts.
 
-mod share;
+mod rate_limit;
--- a/crates/mustardpin-world/tests/testsuite/share.rs
+++ b/crates/mustardpin-world/tests/testsuite/rate_limit.rs
@@ -3,8 +3,8 @@
 use mustardpin_world::{
     Millis,
     id::TeamKey,
-    message::share::Shard,
-    table::share::{Bucket, MAX_SHARDS, TOKEN, Terms},
+    message::rate_limit::Shard,
+    table::rate_limit::{Bucket, BucketParameters, MAX_SHARDS, TOKEN},
 };
 use proptest::prelude::*;
 
@@ -22,9 +22,9 @@
         burst in 1_u32..1_000_000,
         max_shards in 1..=MAX_SHARDS,
     ) {
-        let terms = Terms::sharded(rate, burst, max_shards);
+        let terms = BucketParameters::sharded(rate, burst, max_shards);
         let in_buckets = u64::from(terms.parts) * terms.capacity;
-        let outside = terms.hold.0 * u64::from(rate) * (TOKEN / 1_000);
+        let outside = terms.lease_duration.0 * u64::from(rate) * (TOKEN / 1_000);
         prop_assert!(in_buckets + outside <= u64::from(burst) * TOKEN);
         prop_assert!(terms.capacity >= TOKEN, "a part can hold a whole token");
         prop_assert!(terms.shards <= max_shards);
@@ -33,8 +33,8 @@
     /// With the smallest burst that operators may set for a rate, tokens have time to travel.
     #[test]
     fn tokens_of_the_smallest_burst_have_time_to_travel(rate in 1_u32..200_000) {
-        let terms = Terms::sharded(rate, rate.div_ceil(10).max(2), MAX_SHARDS);
-        prop_assert!(terms.hold >= Millis(49), "{}", terms.hold);
+        let terms = BucketParameters::sharded(rate, rate.div_ceil(10).max(2), MAX_SHARDS);
+        prop_assert!(terms.lease_duration >= Millis(49), "{}", terms.lease_duration);
     }
 
     /// However its takings are spread, a bucket gives no more than its capacity and its gain.
@@ -44,7 +44,7 @@
         burst in 2_u32..10_000,
         steps in prop::collection::vec((0_u64..3_000, 0_u32..200), 1..60),
     ) {
-        let terms = Terms::sharded(rate, burst, MAX_SHARDS);
+        let terms = BucketParameters::sharded(rate, burst, MAX_SHARDS);
         let mut bucket = bucket();
         let mut now = Millis::ZERO;
         let mut given = 0;
@@ -60,7 +60,7 @@
     /// Once the time that a refused taking names has passed, a token is there.
     #[test]
     fn the_next_token_comes_when_it_was_said_to(rate in 1_u32..5_000, burst in 2_u32..10_000) {
-        let terms = Terms::sharded(rate, burst, MAX_SHARDS);
+        let terms = BucketParameters::sharded(rate, burst, MAX_SHARDS);
         let mut bucket = bucket();
         let (tokens, next_in) = bucket.take(&terms, Millis::ZERO, 1);
         prop_assert_eq!(tokens, 0);
