--- a/crates/mustardpin-world/src/message/rate_limit.rs
+++ b/crates/mustardpin-world/src/message/rate_limit.rs
@@ -1,59 +1,59 @@
-//! Messages that move rate tokens from keepers to the nodes where requests arrive.
+//! Messages that move rate tokens from shard owners to the nodes where requests arrive.
 
 use compact_str::CompactString;
 
 use crate::{clock::Millis, id::StoreVersion};
 
-/// One of the parts into which a team's rate is split. Each has its own keeper.
+/// Number of a shard, one of the parts into which a team's rate is split. Each has one owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Shard(pub u8);
 
-/// Tokens that a node would like to have.
+/// A request for tokens of one shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseRequest {
     /// The team's name.
     pub team: CompactString,
-    /// Which part of the team's rate.
+    /// The shard of the team's rate.
     pub shard: Shard,
-    /// How many tokens the sender could use.
+    /// Number of tokens that the sender could use.
     pub wanted: u32,
 }
 
-/// A keeper's answer to a draw, in the same place of its list.
+/// A shard owner's reply to one lease request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// How many tokens.
+    /// Number of granted tokens.
     pub tokens: u32,
-    /// If fewer than wanted: when the next token is due, from now.
+    /// If fewer than wanted: time until the next token is available.
     pub next_in: Millis,
 }
 
 /// A message about rate tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Asks a keeper for tokens.
+    /// Requests tokens from a shard owner.
     Request {
-        /// Matches the grants. Chosen by the sender.
+        /// Number chosen by the sender, to match the grants to the requests.
         number: u64,
-        /// What is asked for.
+        /// One request for each shard.
         requests: Vec<LeaseRequest>,
     },
-    /// A keeper's reply. The tokens have left its buckets; if this message is lost, so are they.
+    /// A shard owner's reply. The tokens have left its buckets, and are lost if this message is.
     Grant {
-        /// The number of the draws.
+        /// The number of the message with the requests.
         number: u64,
-        /// What is granted.
+        /// One grant for each request, in the same order.
         grants: Vec<LeaseGrant>,
     },
-    /// A keeper that lost a shard in a new roster passes its bucket on.
+    /// A node that lost a shard in a new roster passes its bucket to the new owner.
     Handover {
-        /// The version of the roster in which the receiver keeps the shard.
+        /// The version of the roster by which the receiver owns the shard.
         roster: StoreVersion,
         /// The team's name.
         team: CompactString,
-        /// Which part of the team's rate.
+        /// The shard of the team's rate.
         shard: Shard,
-        /// What was left in the bucket, in millionths of a token.
+        /// Level of the bucket, in millionths of a token.
         level: u64,
     },
 }
--- a/crates/mustardpin-world/src/system/rate_limit.rs
+++ b/crates/mustardpin-world/src/system/rate_limit.rs
@@ -1,10 +1,11 @@
 //! Charges requests to their team's rate.
 //!
-//! A team's rate is split into shards. Each shard has one keeper by the roster, which holds its
-//! token bucket. The node where a request arrives draws tokens from keepers, a little ahead of
-//! demand, and spends one for each request it takes in. Tokens leave the bucket before they travel:
-//! what is lost on the way is never spent. A new keeper starts empty after the fence, or at once
-//! with what the one before it hands over.
+//! A team's rate is split into shards. The roster assigns each shard one owner, which keeps its
+//! token bucket. The node where a request arrives leases tokens from shard owners, a little ahead
+//! of demand, and spends one for each request it admits. Tokens leave the bucket before the grant
+//! is sent, so a lost grant never adds to what is spent. A new owner starts with an empty bucket
+//! once the previous owner has certainly stopped granting, or at once with the level that the
+//! previous owner hands over.
 
 mod leasing;
 mod ownership;
@@ -17,7 +18,7 @@
     world::{Tick, World},
 };
 
-/// What the system remembers from tick to tick.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     leasing: leasing::State,
@@ -25,32 +26,32 @@
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    ownership::hand_over_lost(world, tick);
+    ownership::hand_over_lost_buckets(world, tick);
     ownership::reconcile(world, tick.now);
     for (from, message) in std::mem::take(&mut tick.inbox.rate_limits) {
         match message {
             message::Message::Request { number, requests } => {
-                let grant = |draw: &message::LeaseRequest| {
-                    ownership::grant(world, tick.now, &draw.team, draw.shard, draw.wanted)
+                let grant = |request: &message::LeaseRequest| {
+                    ownership::grant(world, tick.now, &request.team, request.shard, request.wanted)
                 };
                 let grants = requests.iter().map(grant).collect();
                 world.send_to(tick, from, message::Message::Grant { number, grants });
             }
             message::Message::Grant { number, grants } => {
-                leasing::granted(world, tick.now, number, &grants);
+                leasing::handle_grants(world, tick.now, number, &grants);
             }
             message::Message::Handover { roster, team, shard, level } => {
                 let handover = ownership::Handover { roster, team, shard, level };
-                ownership::handed_over(world, tick.now, handover);
+                ownership::handle_handover(world, tick.now, handover);
             }
         }
     }
     leasing::run(world, tick);
 }
 
-/// How a team's rate is split at present; `None` if the team is gone or has no limit.
-fn terms(world: &World, team: TeamKey) -> Option<BucketParameters> {
+/// A team's current bucket parameters; `None` if the team does not exist or has no limit.
+fn parameters(world: &World, team: TeamKey) -> Option<BucketParameters> {
     let (rate, burst) = world.tables.limits(team)?;
     let policy = policy::of(&world.options.rate_limit);
-    Some(policy.terms(rate, burst, &world.tables.roster))
+    Some(policy.parameters(rate, burst, &world.tables.roster))
 }
--- a/crates/mustardpin-world/src/system/rate_limit/leasing.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/leasing.rs
@@ -1,4 +1,4 @@
-//! The side of the node where requests arrive: stocks of tokens and draws.
+//! Leases tokens at the node where requests arrive: token caches and lease requests.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -10,7 +10,7 @@
     request::Verdict,
     system::{
         finish,
-        rate_limit::{ownership, policy, terms},
+        rate_limit::{ownership, parameters, policy},
     },
     table::{
         call::{Calls, Stage},
@@ -20,76 +20,76 @@
     world::{Tick, World},
 };
 
-/// A keeper that did not reply is not asked again for this long.
-const UNREACHABLE_WAIT: Millis = Millis(500);
-/// While a keeper has not replied for this long, the next one is asked as well.
-const HEDGE_AFTER: Millis = Millis(20);
-/// A bucket that was empty is not asked again for at least this long.
-const EMPTY_WAIT: Millis = Millis(5);
-/// Demand is smoothed over this period.
+/// Time before another lease request to a shard owner that did not reply.
+const UNREACHABLE_BACKOFF: Millis = Millis(500);
+/// Time without a reply after which the next shard owner is asked as well.
+const HEDGE_DELAY: Millis = Millis(20);
+/// Minimum time before another lease request to a bucket that was empty.
+const EMPTY_BACKOFF: Millis = Millis(5);
+/// Interval at which the smoothed demand is updated.
 const SMOOTHING_PERIOD: Millis = Millis(100);
-/// The weight of the last period in the smoothed demand.
+/// Weight of the latest interval in the smoothed demand.
 const SMOOTHING_WEIGHT: f64 = 0.3;
-/// Below this many requests a second, tokens are not drawn ahead of demand.
-const LEAST_DEMAND: f64 = 2.0;
-/// A node gets to know the keepers within this time of its start.
-const STARTING: Millis = Millis(4_000);
-/// Requests that arrive in that time may wait this long for a token.
-const START_PATIENCE: Millis = Millis(2_000);
-/// A stock whose team has had no request for this long is dropped.
-const IDLE: Millis = Millis(10_000);
-/// The most tokens one draw asks for.
-const MAX_DRAW: u32 = 10_000;
+/// Demand, in requests per second, below which no tokens are leased ahead.
+const MIN_PREFETCH_DEMAND: f64 = 2.0;
+/// Time after the first tick within which a node learns the shard owners.
+const STARTUP_PERIOD: Millis = Millis(4_000);
+/// How long a request may wait for a token during [`STARTUP_PERIOD`].
+const STARTUP_MAX_WAIT: Millis = Millis(2_000);
+/// A token cache is dropped once its team has had no request for this long.
+const IDLE_RETENTION: Millis = Millis(10_000);
+/// Maximum number of tokens in one lease request.
+const MAX_REQUESTED_TOKENS: u32 = 10_000;
 
-/// Draws of one message, in its order.
+/// A message with lease requests that awaits its grants; the shards are in the message's order.
 #[derive(Debug)]
-struct Drawn {
+struct SentMessage {
     sent: Millis,
     shards: Vec<(TeamKey, Shard)>,
 }
 
-/// What the drawing side remembers from tick to tick.
+/// State of leasing between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     last_number: u64,
-    /// Messages without a reply yet.
-    drawn: BTreeMap<u64, Drawn>,
-    /// Draws of this tick, by keeper.
+    /// Messages without a reply, by their number.
+    unanswered: BTreeMap<u64, SentMessage>,
+    /// Lease requests of this tick, by shard owner.
     outbox: BTreeMap<PeerKey, Vec<(TeamKey, LeaseRequest)>>,
-    /// Teams to look at in this tick.
+    /// Teams to serve in this tick.
     due: Vec<TeamKey>,
-    /// Teams with calls that wait.
+    /// Teams with calls that wait for a token.
     waiting: Vec<TeamKey>,
-    /// When demand was last smoothed.
-    smoothed: Millis,
-    /// The first tick.
-    started: Option<Millis>,
+    /// When the smoothed demand was last updated.
+    smoothed_at: Millis,
+    /// Time of the first tick.
+    started_at: Option<Millis>,
 }
 
-/// A keeper granted tokens, or none.
-pub(super) fn granted(world: &mut World, now: Millis, number: u64, grants: &[LeaseGrant]) {
-    let Some(drawn) = world.systems.rate_limit.leasing.drawn.remove(&number) else { return };
-    for (&(team, shard), grant) in drawn.shards.iter().zip(grants) {
-        let Some(terms) = terms(world, team) else { continue };
-        let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { continue };
-        let Some(source) = stock.shard_states.get_mut(usize::from(shard.0)) else { continue };
-        if source.pending.is_some_and(|(pending, _)| pending == number) {
-            source.pending = None;
+/// Adds granted tokens to the caches; a grant without tokens starts a backoff.
+pub(super) fn handle_grants(world: &mut World, now: Millis, number: u64, grants: &[LeaseGrant]) {
+    let Some(message) = world.systems.rate_limit.leasing.unanswered.remove(&number) else { return };
+    for (&(team, shard), grant) in message.shards.iter().zip(grants) {
+        let Some(parameters) = parameters(world, team) else { continue };
+        let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { continue };
+        let Some(shard_state) = cache.shard_states.get_mut(usize::from(shard.0)) else { continue };
+        if shard_state.pending.is_some_and(|(pending, _)| pending == number) {
+            shard_state.pending = None;
         }
-        source.unreachable = false;
+        shard_state.unreachable = false;
         if grant.tokens == 0 {
-            source.backoff_until = now + grant.next_in.max(EMPTY_WAIT);
+            shard_state.backoff_until = now + grant.next_in.max(EMPTY_BACKOFF);
         } else {
-            stock.leases.push_back((drawn.sent + terms.lease_duration, grant.tokens));
+            cache.leases.push_back((message.sent + parameters.lease_duration, grant.tokens));
         }
         world.systems.rate_limit.leasing.due.push(team);
     }
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    world.systems.rate_limit.leasing.started.get_or_insert(tick.now);
+    world.systems.rate_limit.leasing.started_at.get_or_insert(tick.now);
     for call in world.tables.calls.take(Stage::RateLimit) {
-        admit(world, tick.now, call);
+        enqueue(world, tick.now, call);
     }
     smooth_demand(world, tick.now);
     let state = &mut world.systems.rate_limit.leasing;
@@ -98,47 +98,49 @@
     due.sort_unstable();
     due.dedup();
     for team in due {
-        match terms(world, team) {
-            Some(terms) => serve(world, tick, team, &terms),
-            None => release(world, tick.now, team),
+        match parameters(world, team) {
+            Some(parameters) => serve(world, tick, team, &parameters),
+            None => admit_all(world, tick.now, team),
         }
     }
-    send_draws(world, tick);
+    send_requests(world, tick);
 }
 
-/// Puts a call in line for a token of its team.
-fn admit(world: &mut World, now: Millis, call: CallKey) {
+/// Appends a call to the calls that wait for a token of its team.
+fn enqueue(world: &mut World, now: Millis, call: CallKey) {
     let Some(team) = world.tables.calls.get(call).and_then(|call| call.team) else { return };
     let Some(entry) = world.tables.rate_limits.token_caches.entry(team) else { return };
-    let stock = entry.or_default();
-    stock.arrived += 1;
-    stock.last_request = now;
-    stock.waiting.push_back(call);
+    let cache = entry.or_default();
+    cache.arrivals += 1;
+    cache.last_request = now;
+    cache.waiting.push_back(call);
     world.systems.rate_limit.leasing.due.push(team);
 }
 
-/// Brings the demand of all teams up to date, and looks at each of them.
+/// Updates the smoothed demand of all teams and marks them as due.
 fn smooth_demand(world: &mut World, now: Millis) {
     let state = &mut world.systems.rate_limit.leasing;
-    let elapsed = now - state.smoothed;
+    let elapsed = now - state.smoothed_at;
     if elapsed < SMOOTHING_PERIOD {
         return;
     }
-    state.smoothed = now;
-    let idle = |stock: &TokenCache| stock.waiting.is_empty() && now - stock.last_request > IDLE;
-    world.tables.rate_limits.token_caches.retain(|_, stock| !idle(stock));
-    for (team, stock) in &mut world.tables.rate_limits.token_caches {
-        let latest = f64::from(stock.arrived) * 1_000.0 / elapsed.0 as f64;
-        stock.demand += (latest - stock.demand) * SMOOTHING_WEIGHT;
-        stock.arrived = 0;
+    state.smoothed_at = now;
+    let idle =
+        |cache: &TokenCache| cache.waiting.is_empty() && now - cache.last_request > IDLE_RETENTION;
+    world.tables.rate_limits.token_caches.retain(|_, cache| !idle(cache));
+    for (team, cache) in &mut world.tables.rate_limits.token_caches {
+        let latest = f64::from(cache.arrivals) * 1_000.0 / elapsed.0 as f64;
+        cache.demand += (latest - cache.demand) * SMOOTHING_WEIGHT;
+        cache.arrivals = 0;
         state.due.push(team);
     }
 }
 
-/// Lets all calls of a team through that has no limit, or has gone: the check of the key follows.
-fn release(world: &mut World, now: Millis, team: TeamKey) {
-    let Some(stock) = world.tables.rate_limits.token_caches.remove(team) else { return };
-    for call in stock.waiting {
+/// Admits all waiting calls of a team that has no limit or no longer exists. For the latter, the
+/// check of the key follows in a later stage.
+fn admit_all(world: &mut World, now: Millis, team: TeamKey) {
+    let Some(cache) = world.tables.rate_limits.token_caches.remove(team) else { return };
+    for call in cache.waiting {
         let is_waiting =
             world.tables.calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit);
         if is_waiting {
@@ -147,127 +149,139 @@
     }
 }
 
-/// Spends what there is of a team's tokens, draws what is lacking, and refuses what waits too long.
-fn serve(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &BucketParameters) {
-    find_keepers(world, team, terms);
+/// Spends a team's cached tokens, leases what is missing and refuses calls that waited too long.
+fn serve(world: &mut World, tick: &mut Tick, team: TeamKey, parameters: &BucketParameters) {
+    update_owners(world, team, parameters);
     spend(world, tick.now, team);
-    draw(world, tick, team, terms);
+    request_leases(world, tick, team, parameters);
     spend(world, tick.now, team);
-    refuse(world, tick, team, terms);
-    let Some(stock) = world.tables.rate_limits.token_caches.get(team) else { return };
-    if !stock.waiting.is_empty() {
+    refuse(world, tick, team, parameters);
+    let Some(cache) = world.tables.rate_limits.token_caches.get(team) else { return };
+    if !cache.waiting.is_empty() {
         world.systems.rate_limit.leasing.waiting.push(team);
-        tick.wake(tick.now + EMPTY_WAIT);
+        tick.wake(tick.now + EMPTY_BACKOFF);
     }
 }
 
 fn spend(world: &mut World, now: Millis, team: TeamKey) {
-    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
+    let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
     let calls = &mut world.tables.calls;
-    while let Some(&call) = stock.waiting.front() {
+    while let Some(&call) = cache.waiting.front() {
         let is_waiting = calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit);
-        if is_waiting && !stock.spend(now) {
+        if is_waiting && !cache.spend(now) {
             return;
         }
-        stock.waiting.pop_front();
+        cache.waiting.pop_front();
         if is_waiting {
             calls.advance(call, Stage::Routing, now);
         }
     }
 }
 
-/// Brings a stock's list of keepers up to date with the roster and the team's terms.
-fn find_keepers(world: &mut World, team: TeamKey, terms: &BucketParameters) {
+/// Updates a cache's list of shard owners after a change of the roster or the number of shards.
+fn update_owners(world: &mut World, team: TeamKey, parameters: &BucketParameters) {
     let roster = world.tables.roster.version;
-    let Some(stock) = world.tables.rate_limits.token_caches.get(team) else { return };
-    if stock.owners_roster == roster && stock.shard_states.len() == usize::from(terms.shards) {
+    let Some(cache) = world.tables.rate_limits.token_caches.get(team) else { return };
+    if cache.owners_roster == roster && cache.shard_states.len() == usize::from(parameters.shards) {
         return;
     }
-    let keepers = keepers_by_nearness(world, team, terms);
-    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
-    stock.owners = keepers;
-    stock.owners_roster = roster;
-    stock.shard_states.clear();
-    stock.shard_states.resize_with(usize::from(terms.shards), Default::default);
+    let owners = owners_by_proximity(world, team, parameters);
+    let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
+    cache.owners = owners;
+    cache.owners_roster = roster;
+    cache.shard_states.clear();
+    cache.shard_states.resize_with(usize::from(parameters.shards), Default::default);
 }
 
-/// A team's shards with their keepers, the own ones first, then those in the own data centre.
-fn keepers_by_nearness(world: &World, team: TeamKey, terms: &BucketParameters) -> Vec<ShardOwner> {
+/// A team's shards with their owners: this node's first, then those in its data centre.
+fn owners_by_proximity(
+    world: &World,
+    team: TeamKey,
+    parameters: &BucketParameters,
+) -> Vec<ShardOwner> {
     let (roster, own) = (&world.tables.roster, &world.identity);
     let policy = policy::of(&world.options.rate_limit);
     let Some(team) = world.tables.teams.get(team).map(|team| &team.name) else {
         return Vec::new();
     };
-    let shards = u64::from(terms.shards.max(1));
+    let shards = u64::from(parameters.shards.max(1));
     let rotation = own.node().0 % shards;
-    let mut keepers: Vec<_> = (0..terms.shards)
+    let mut owners: Vec<_> = (0..parameters.shards)
         .map(Shard)
         .filter_map(|shard| {
             let (data_centre, name) = policy.shard_owner(roster, own, team, shard)?;
             let is_own = name == own.name();
             let is_near = data_centre == own.data_centre();
-            // Nodes begin with different shards, so that none is emptied by all.
-            let turn = (u64::from(shard.0) + rotation) % shards;
+            // Nodes begin with different shards, so that they don't all drain the same bucket.
+            let order = (u64::from(shard.0) + rotation) % shards;
             let member = (!is_own).then(|| name.clone());
-            Some(((!is_own, Reverse(is_near), turn), ShardOwner { shard, member }))
+            Some(((!is_own, Reverse(is_near), order), ShardOwner { shard, member }))
         })
         .collect();
-    keepers.sort_by_key(|(nearness, _)| *nearness);
-    keepers.into_iter().map(|(_, keeper)| keeper).collect()
+    owners.sort_by_key(|(proximity, _)| *proximity);
+    owners.into_iter().map(|(_, owner)| owner).collect()
 }
 
-/// How many tokens the node lacks for the calls that wait and for the demand ahead.
-fn wanted(world: &mut World, now: Millis, team: TeamKey, terms: &BucketParameters) -> u32 {
-    let horizon = world.options.rate_limit.horizon.min(Millis(terms.lease_duration.0 / 2));
-    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return 0 };
-    let ahead = if stock.demand < LEAST_DEMAND {
+/// Number of tokens to lease for the calls that wait and for the demand expected within the
+/// horizon.
+fn wanted(world: &mut World, now: Millis, team: TeamKey, parameters: &BucketParameters) -> u32 {
+    let horizon = world.options.rate_limit.horizon.min(Millis(parameters.lease_duration.0 / 2));
+    let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { return 0 };
+    let prefetch = if cache.demand < MIN_PREFETCH_DEMAND {
         0
     } else {
-        (stock.demand.min(f64::from(terms.rate)) * horizon.0 as f64 / 1_000.0).ceil() as u32
+        (cache.demand.min(f64::from(parameters.rate)) * horizon.0 as f64 / 1_000.0).ceil() as u32
     };
-    let waiting = stock.waiting.len() as u32;
-    let held = stock.tokens(now);
-    if waiting == 0 && held * 2 > ahead {
+    let waiting = cache.waiting.len() as u32;
+    let cached = cache.tokens(now);
+    if waiting == 0 && cached * 2 > prefetch {
         return 0;
     }
-    (waiting + ahead).saturating_sub(held).min(MAX_DRAW)
+    (waiting + prefetch).saturating_sub(cached).min(MAX_REQUESTED_TOKENS)
 }
 
-/// Draws what is lacking from the nearest keeper that may have it.
-fn draw(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &BucketParameters) {
-    let mut missing = wanted(world, tick.now, team, terms);
+/// Leases the missing tokens from the nearest shard owner that may have them.
+fn request_leases(
+    world: &mut World,
+    tick: &mut Tick,
+    team: TeamKey,
+    parameters: &BucketParameters,
+) {
+    let mut missing = wanted(world, tick.now, team, parameters);
     if missing == 0 {
         return;
     }
     let reply_within = world.options.rate_limit.reply_within;
     let Some(count) =
-        world.tables.rate_limits.token_caches.get(team).map(|stock| stock.owners.len())
+        world.tables.rate_limits.token_caches.get(team).map(|cache| cache.owners.len())
     else {
         return;
     };
     for index in 0..count {
-        let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
-        let keeper = stock.owners[index].clone();
-        let source = &mut stock.shard_states[usize::from(keeper.shard.0)];
-        if let Some((_, sent)) = source.pending {
+        let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
+        let owner = cache.owners[index].clone();
+        let shard_state = &mut cache.shard_states[usize::from(owner.shard.0)];
+        if let Some((_, sent)) = shard_state.pending {
             let waited = tick.now - sent;
-            if waited < HEDGE_AFTER {
+            if waited < HEDGE_DELAY {
                 return;
             }
             if waited >= reply_within {
-                source.pending = None;
-                source.unreachable = true;
-                source.backoff_until = tick.now + UNREACHABLE_WAIT;
+                shard_state.pending = None;
+                shard_state.unreachable = true;
+                shard_state.backoff_until = tick.now + UNREACHABLE_BACKOFF;
             }
             continue;
         }
-        if source.backoff_until > tick.now {
+        if shard_state.backoff_until > tick.now {
             continue;
         }
-        match keeper.member {
-            None => missing -= draw_here(world, tick.now, team, keeper.shard, terms, missing),
+        match owner.member {
+            None => {
+                missing -= lease_locally(world, tick.now, team, owner.shard, parameters, missing)
+            }
             Some(member) => {
-                if ask(world, tick.now, team, &member, keeper.shard, missing) {
+                if queue_request(world, tick.now, team, &member, owner.shard, missing) {
                     return;
                 }
             }
@@ -278,97 +292,100 @@
     }
 }
 
-/// Draws from a bucket of this node. Returns how many tokens there were.
-fn draw_here(
+/// Leases tokens from a bucket of this node. Returns how many it granted.
+fn lease_locally(
     world: &mut World,
     now: Millis,
     team: TeamKey,
     shard: Shard,
-    terms: &BucketParameters,
+    parameters: &BucketParameters,
     wanted: u32,
 ) -> u32 {
     let Some(name) = world.tables.teams.get(team).map(|team| team.name.clone()) else { return 0 };
     let grant = ownership::grant(world, now, &name, shard, wanted);
-    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return 0 };
+    let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { return 0 };
     if grant.tokens > 0 {
-        stock.leases.push_back((now + terms.lease_duration.max(Millis(1)), grant.tokens));
+        cache.leases.push_back((now + parameters.lease_duration.max(Millis(1)), grant.tokens));
     }
     if grant.tokens < wanted {
-        let source = &mut stock.shard_states[usize::from(shard.0)];
-        source.backoff_until = now + grant.next_in.max(EMPTY_WAIT);
+        let shard_state = &mut cache.shard_states[usize::from(shard.0)];
+        shard_state.backoff_until = now + grant.next_in.max(EMPTY_BACKOFF);
     }
     grant.tokens
 }
 
-/// Puts a draw in the outbox for a keeper. Returns whether the keeper can be reached.
-fn ask(
+/// Queues a lease request to a shard owner. Returns whether the owner is connected.
+fn queue_request(
     world: &mut World,
     now: Millis,
     team: TeamKey,
-    place: &str,
+    member: &str,
     shard: Shard,
     wanted: u32,
 ) -> bool {
-    let keeper = world.tables.peers.by_name(place);
-    let keeper = keeper
-        .filter(|&keeper| world.tables.peers.get(keeper).is_some_and(|peer| peer.link == Link::Up));
+    let owner = world.tables.peers.by_name(member);
+    let owner = owner
+        .filter(|&owner| world.tables.peers.get(owner).is_some_and(|peer| peer.link == Link::Up));
     let name = world.tables.teams.get(team).map(|team| team.name.clone());
-    let (Some(keeper), Some(name)) = (keeper, name) else {
-        if let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) {
-            let source = &mut stock.shard_states[usize::from(shard.0)];
-            source.unreachable = true;
-            source.backoff_until = now + UNREACHABLE_WAIT;
+    let (Some(owner), Some(name)) = (owner, name) else {
+        if let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) {
+            let shard_state = &mut cache.shard_states[usize::from(shard.0)];
+            shard_state.unreachable = true;
+            shard_state.backoff_until = now + UNREACHABLE_BACKOFF;
         }
         return false;
     };
-    let draw = LeaseRequest { team: name, shard, wanted };
-    world.systems.rate_limit.leasing.outbox.entry(keeper).or_default().push((team, draw));
+    let request = LeaseRequest { team: name, shard, wanted };
+    world.systems.rate_limit.leasing.outbox.entry(owner).or_default().push((team, request));
     true
 }
 
-/// Sends the draws of this tick, one message to each keeper.
-fn send_draws(world: &mut World, tick: &mut Tick) {
+/// Sends the lease requests of this tick, one message to each shard owner.
+fn send_requests(world: &mut World, tick: &mut Tick) {
     let reply_within = world.options.rate_limit.reply_within;
     let state = &mut world.systems.rate_limit.leasing;
-    state.drawn.retain(|_, drawn| tick.now < drawn.sent + reply_within);
-    for (keeper, draws) in std::mem::take(&mut state.outbox) {
+    state.unanswered.retain(|_, message| tick.now < message.sent + reply_within);
+    for (owner, requests) in std::mem::take(&mut state.outbox) {
         let state = &mut world.systems.rate_limit.leasing;
         state.last_number += 1;
         let number = state.last_number;
-        let shards: Vec<_> = draws.iter().map(|(team, draw)| (*team, draw.shard)).collect();
+        let shards: Vec<_> =
+            requests.iter().map(|(team, request)| (*team, request.shard)).collect();
         for &(team, shard) in &shards {
-            if let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) {
-                stock.shard_states[usize::from(shard.0)].pending = Some((number, tick.now));
+            if let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) {
+                cache.shard_states[usize::from(shard.0)].pending = Some((number, tick.now));
             }
         }
-        state.drawn.insert(number, Drawn { sent: tick.now, shards });
-        let requests = draws.into_iter().map(|(_, draw)| draw).collect();
-        world.send(tick, keeper, message::Message::Request { number, requests });
+        state.unanswered.insert(number, SentMessage { sent: tick.now, shards });
+        let requests = requests.into_iter().map(|(_, request)| request).collect();
+        world.send(tick, owner, message::Message::Request { number, requests });
     }
 }
 
-/// Refuses calls that have waited too long, and those beyond what the rate yields meanwhile.
-fn refuse(world: &mut World, tick: &mut Tick, team: TeamKey, terms: &BucketParameters) {
-    let patience = patience(world, tick.now);
-    let within_patience = u64::from(terms.rate) * patience.0 / 1_000 + 1;
+/// Refuses calls that have waited too long. If no shard can be asked at present, also refuses the
+/// least important calls beyond the number that the rate yields within the maximum wait.
+fn refuse(world: &mut World, tick: &mut Tick, team: TeamKey, parameters: &BucketParameters) {
+    let max_wait = max_wait(world, tick.now);
+    let served_within_wait = u64::from(parameters.rate) * max_wait.0 / 1_000 + 1;
     let refusal = refusal(world, tick.now, team);
-    let Some(stock) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
+    let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { return };
     let calls = &world.tables.calls;
-    stock
+    cache
         .waiting
         .retain(|&call| calls.get(call).is_some_and(|call| call.stage == Stage::RateLimit));
-    let dry = stock.shard_states.iter().all(|source| source.backoff_until > tick.now);
+    let all_backed_off =
+        cache.shard_states.iter().all(|shard_state| shard_state.backoff_until > tick.now);
     let mut refused = Vec::new();
-    while let Some(&call) = stock.waiting.front() {
+    while let Some(&call) = cache.waiting.front() {
         let Some(row) = calls.get(call) else { break };
-        if tick.now - row.since < patience && row.deadline > tick.now {
+        if tick.now - row.since < max_wait && row.deadline > tick.now {
             break;
         }
-        stock.waiting.pop_front();
+        cache.waiting.pop_front();
         refused.push(call);
     }
-    while dry && stock.waiting.len() as u64 > within_patience {
-        let Some(call) = least_important(stock, calls) else { break };
+    while all_backed_off && cache.waiting.len() as u64 > served_within_wait {
+        let Some(call) = least_important(cache, calls) else { break };
         refused.push(call);
     }
     for call in refused {
@@ -376,30 +393,30 @@
     }
 }
 
-/// How long a request may wait for a token. A node that has just started may not know the keepers
-/// yet, which is no reason to refuse.
-fn patience(world: &World, now: Millis) -> Millis {
-    let patience = world.options.rate_limit.patience;
-    let started = world.systems.rate_limit.leasing.started.unwrap_or(now);
-    if now - started < STARTING { patience.max(START_PATIENCE) } else { patience }
+/// Maximum time that a request waits for a token. It is longer just after the start, when the node
+/// may not know the shard owners yet.
+fn max_wait(world: &World, now: Millis) -> Millis {
+    let max_wait = world.options.rate_limit.patience;
+    let started_at = world.systems.rate_limit.leasing.started_at.unwrap_or(now);
+    if now - started_at < STARTUP_PERIOD { max_wait.max(STARTUP_MAX_WAIT) } else { max_wait }
 }
 
-/// Removes the least important of the waiting calls, the last one to arrive among equals.
-fn least_important(stock: &mut TokenCache, calls: &Calls) -> Option<CallKey> {
+/// Removes the least important waiting call; among equals, the one that arrived last.
+fn least_important(cache: &mut TokenCache, calls: &Calls) -> Option<CallKey> {
     let rank = |call: CallKey| calls.get(call).map(|call| call.rank);
-    let index = (0..stock.waiting.len())
-        .min_by_key(|&index| (rank(stock.waiting[index]), Reverse(index)))?;
-    stock.waiting.remove(index)
+    let index = (0..cache.waiting.len())
+        .min_by_key(|&index| (rank(cache.waiting[index]), Reverse(index)))?;
+    cache.waiting.remove(index)
 }
 
-/// What to tell a caller whose team has no tokens.
+/// The refusal for a call whose team has no tokens.
 fn refusal(world: &World, now: Millis, team: TeamKey) -> Refusal {
-    let Some(stock) = world.tables.rate_limits.token_caches.get(team) else {
-        return Refusal::not_run(Reason::RateUnavailable).after(UNREACHABLE_WAIT);
+    let Some(cache) = world.tables.rate_limits.token_caches.get(team) else {
+        return Refusal::not_run(Reason::RateUnavailable).after(UNREACHABLE_BACKOFF);
     };
     let retry_at =
-        stock.shard_states.iter().map(|source| source.backoff_until).min().unwrap_or(now);
-    let none_reachable = stock.shard_states.iter().all(|source| source.unreachable);
+        cache.shard_states.iter().map(|shard_state| shard_state.backoff_until).min().unwrap_or(now);
+    let none_reachable = cache.shard_states.iter().all(|shard_state| shard_state.unreachable);
     let reason = if none_reachable { Reason::RateUnavailable } else { Reason::RateExceeded };
     Refusal::not_run(reason).after((retry_at - now).max(Millis(1)))
 }
--- a/crates/mustardpin-world/src/system/rate_limit/policy.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/policy.rs
@@ -1,4 +1,4 @@
-//! Ways to share a team's rate between nodes.
+//! Policies for splitting a team's rate between nodes.
 
 use compact_str::CompactString;
 
@@ -9,12 +9,12 @@
     world::Identity,
 };
 
-/// A way to share a team's rate.
+/// A policy for splitting a team's rate between nodes.
 pub(super) trait Policy {
-    /// How a rate, in tokens a second, and a burst, in tokens, are split.
-    fn terms(&self, rate: u32, burst: u32, roster: &Roster) -> BucketParameters;
+    /// Bucket parameters for a rate, in tokens per second, and a burst, in tokens.
+    fn parameters(&self, rate: u32, burst: u32, roster: &Roster) -> BucketParameters;
 
-    /// The data centre and the name of the place that keeps a shard, as seen from a node.
+    /// The data centre and member name of a shard's owner, as seen from `node`.
     fn shard_owner<'a>(
         &self,
         roster: &'a Roster,
@@ -24,7 +24,7 @@
     ) -> Option<(&'a CompactString, &'a CompactString)>;
 }
 
-/// The way that the options name.
+/// The policy that the options select.
 pub(super) fn of(options: &RateLimit) -> Box<dyn Policy> {
     match options.policy {
         RateLimitPolicy::Sharded => Box::new(Sharded { max_shards: options.max_shards }),
@@ -32,13 +32,13 @@
     }
 }
 
-/// Shards with a keeper each, found by rendezvous hashing.
+/// Each shard has one owner in the fleet, found by rendezvous hashing.
 struct Sharded {
     max_shards: u8,
 }
 
 impl Policy for Sharded {
-    fn terms(&self, rate: u32, burst: u32, _roster: &Roster) -> BucketParameters {
+    fn parameters(&self, rate: u32, burst: u32, _roster: &Roster) -> BucketParameters {
         BucketParameters::sharded(rate, burst, self.max_shards)
     }
 
@@ -53,11 +53,11 @@
     }
 }
 
-/// Every member keeps its own equal part.
+/// Every member owns an equal part of the rate.
 struct Even;
 
 impl Policy for Even {
-    fn terms(&self, rate: u32, burst: u32, roster: &Roster) -> BucketParameters {
+    fn parameters(&self, rate: u32, burst: u32, roster: &Roster) -> BucketParameters {
         BucketParameters::even(rate, burst, roster.len())
     }
 
