--- a/crates/mustardpin-world/src/system/finish.rs
+++ b/crates/mustardpin-world/src/system/finish.rs
@@ -52,7 +52,7 @@
         parent.retry_allowance += call.retry_allowance;
         parent.lineage.children.retain(|child| *child != key);
     }
-    resend::finished(world, tick.now, call, &verdict);
+    resend::record_outcome(world, tick.now, call, &verdict);
     abandon_children(world, tick, call);
 }
 
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -158,7 +158,7 @@
     arrival: &mut Arrival,
 ) -> Result<(), Refusal> {
     if let Some(parent) = arrival.parent {
-        let allowance = retry::adopt(world, parent, arrival.service, request);
+        let allowance = retry::lend_to_nested(world, parent, arrival.service, request);
         arrival.retry_allowance = allowance.map_err(Refusal::not_run)?;
         return Ok(());
     }
--- a/crates/mustardpin-world/src/system/resend.rs
+++ b/crates/mustardpin-world/src/system/resend.rs
@@ -1,6 +1,6 @@
-//! Recognises root requests that callers send again after a failure, and limits them by team.
+//! Recognises root requests that callers resend after a failure, and limits them by team.
 //!
-//! Non-repeatable requests are left alone: their callers send them again only after a refusal that
+//! Non-repeatable requests are not limited: their callers resend them only after a refusal that
 //! says that they have not run.
 
 use crate::{
@@ -13,10 +13,10 @@
     world::World,
 };
 
-/// How long a caller should wait before it sends a refused request again.
+/// Wait that a refused caller is asked to observe before it resends the request.
 const RETRY_AFTER: Millis = Millis(1_000);
 
-/// What makes two root requests the same.
+/// Identity of a root request: requests with equal identities count as resends of one another.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Identity {
     pub(super) team: TeamKey,
@@ -24,8 +24,8 @@
     pub(super) fingerprint: Fingerprint,
 }
 
-/// Returns what a root request keeps of its allowance of repeats, or refuses it. A resend keeps
-/// none: its caller has repeated in place of the system.
+/// Returns the retry allowance that a root request starts with, or refuses the request. A resend
+/// starts with none, since its caller has already retried in place of the node.
 pub(super) fn admit(
     world: &mut World,
     now: Millis,
@@ -35,7 +35,7 @@
     if !world.options.retry.limit_resends {
         return Ok(allowance);
     }
-    let Some(most) = world.systems.retry.resends(allowance) else { return Ok(allowance) };
+    let Some(limit) = world.systems.retry.max_resends(allowance) else { return Ok(allowance) };
     let Some(hash) = hash(world, identity) else { return Ok(allowance) };
     let options = &world.options.retry;
     let failed = &mut world.tables.failed;
@@ -52,7 +52,7 @@
         return Err(refusal);
     }
     let Some(row) = failed.get_mut(hash) else { return Ok(allowance) };
-    if row.resends >= most {
+    if row.resends >= limit {
         return Err(refusal.after(row.at + options.resend_window - now));
     }
     row.resends += 1;
@@ -63,8 +63,8 @@
     Ok(0)
 }
 
-/// Remembers a root request that failed, or forgets it if it was served.
-pub(super) fn finished(world: &mut World, now: Millis, call: &Call, verdict: &Verdict) {
+/// Records a root request that failed, or removes its record if it was served.
+pub(super) fn record_outcome(world: &mut World, now: Millis, call: &Call, verdict: &Verdict) {
     let (Some(team), Some(route)) = (call.team, call.route) else { return };
     if !call.is_root() || !world.options.retry.limit_resends {
         return;
@@ -73,7 +73,7 @@
     let Some(hash) = hash(world, identity) else { return };
     let failed = match verdict {
         Verdict::Pass => call.lineage.failed,
-        Verdict::Refuse(refusal) if is_worth_resending(refusal.reason) => true,
+        Verdict::Refuse(refusal) if is_likely_resent(refusal.reason) => true,
         Verdict::Refuse(_) => return,
     };
     if failed {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Whether callers tend to send a request again that was refused for this reason.
-fn is_worth_resending(reason: Reason) -> bool {
+/// Whether callers tend to resend a request that was refused for this reason.
+fn is_likely_resent(reason: Reason) -> bool {
     let failed = matches!(
         reason,
         Reason::CallerGone
@@ -93,18 +93,19 @@
             | Reason::RetryAllowance
             | Reason::TargetFailed
     );
-    failed || is_load(reason)
+    failed || is_overload(reason)
 }
 
-/// Whether a refusal for this reason comes from load.
-fn is_load(reason: Reason) -> bool {
+/// Whether a refusal for this reason is caused by overload.
+fn is_overload(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::QueueFull | Reason::Shed | Reason::DeadlineBeforeRun | Reason::DeadlineDuringRun
     )
 }
 
-/// The hash of an identity; `None` if the route is non-repeatable or gone.
+/// The hash of an identity; `None` if the route is non-repeatable or the route or the team no
+/// longer exists.
 fn hash(world: &World, identity: Identity) -> Option<u64> {
     let route = &world.tables.routes.get(identity.route)?.config;
     let team = &world.tables.teams.get(identity.team)?.name;
--- a/crates/mustardpin-world/src/system/retry.rs
+++ b/crates/mustardpin-world/src/system/retry.rs
@@ -1,9 +1,10 @@
-//! Tries failed calls elsewhere, within what the root request may still repeat.
+//! Retries failed calls on another node or target, within the root request's retry allowance.
 //!
-//! A root request starts with an allowance of repeats. Each call holds a part of it: it lends half
-//! to the node or the nested call that it goes to, and what is left there comes back with the
-//! answer. First attempts of nested calls are free; each repeat of one costs one, whoever makes it.
-//! On top, requests for a service earn the repeats that the node may make for it.
+//! A root request starts with an allowance of retries. Each call has a part of it: it lends half to
+//! the node or the nested call that it goes to, and the unused rest returns with the response.
+//! First attempts of nested calls are free; each retry of one costs one, whether the node or the
+//! target's code makes it. In addition, requests for a service earn retry tokens, and each retry
+//! that the node makes for the service spends one.
 
 mod chain;
 mod ratio;
@@ -26,36 +27,37 @@
     world::{Tick, World},
 };
 
-/// How many places may turn a call away before it has reached any target.
-const MOST_REROUTES: u32 = 3;
+/// How often a call may be rerouted for free because no target has received it.
+const MAX_REROUTES: u32 = 3;
 
-/// The part of what the fleet may repeat that is spent on requests for a service themselves. The
-/// rest is for the calls that a repeat makes again at the services below.
-const OWN_PART: f64 = 0.3;
+/// The fraction of the fleet's retry budget that is spent on requests for a service themselves. The
+/// rest is for the calls that a retry makes again to the services below.
+const OWN_SHARE: f64 = 0.3;
 
-/// What a repeat is paid from.
+/// The budget that a retry is paid from.
 #[derive(Debug)]
 struct Budget<'a> {
-    /// What is left to the call or, for a nested call, to the call that makes it.
+    /// Remaining retry allowance of the call or, for a nested call, of its parent.
     allowance: &'a mut u32,
-    /// What requests for the service have earned.
+    /// Retry tokens that requests for the service have earned.
     tokens: &'a mut f64,
 }
 
-/// Who may repeat.
+/// Decides which retries and resends are allowed.
 trait Policy: Debug + Send {
-    /// Pays for a repeat that the system makes, or refuses it.
-    fn repeat(&self, budget: Budget<'_>) -> bool;
+    /// Pays for a retry that the node makes. Returns false if the budget doesn't allow it.
+    fn allow_retry(&self, budget: Budget<'_>) -> bool;
 
-    /// Pays for a nested call that the target's code makes again, or refuses it.
-    fn nested(&self, budget: Budget<'_>) -> bool;
+    /// Pays for a nested call that the target's code retries. Returns false if the budget doesn't
+    /// allow it.
+    fn allow_nested_retry(&self, budget: Budget<'_>) -> bool;
 
-    /// How often a caller may send a root request again, given its allowance; `None` if resends
-    /// are not looked at.
-    fn resends(&self, allowance: u32) -> Option<u32>;
+    /// How often a caller may resend a root request that has this allowance; `None` if resends are
+    /// not limited.
+    fn max_resends(&self, allowance: u32) -> Option<u32>;
 }
 
-/// What the system remembers from tick to tick.
+/// State of the system between ticks.
 #[derive(Debug)]
 pub(crate) struct State {
     policy: Box<dyn Policy>,
@@ -71,9 +73,9 @@
         State { policy }
     }
 
-    /// How often a caller may send a root request again.
-    pub(super) fn resends(&self, allowance: u32) -> Option<u32> {
-        self.policy.resends(allowance)
+    /// How often a caller may resend a root request that has this allowance; see [`Policy`].
+    pub(super) fn max_resends(&self, allowance: u32) -> Option<u32> {
+        self.policy.max_resends(allowance)
     }
 }
 
@@ -89,7 +91,7 @@
         let call = world.tables.calls.get(key);
         let fingerprint = call.map(|call| call.fingerprint).unwrap_or_default();
         let cause = cause.filter(|_| !quarantine::needs_trial(world, tick.now, fingerprint));
-        if !cause.is_some_and(|cause| again(world, tick, key, cause)) {
+        if !cause.is_some_and(|cause| retry_elsewhere(world, tick, key, cause)) {
             tick.inbox.runs_ended.push((ticket, end));
         }
     }
@@ -103,7 +105,7 @@
         }
         call.lineage.arrivals += u32::from(may_have_arrived(end));
         let cause = forward_cause(world, key, end);
-        if !cause.is_some_and(|cause| again(world, tick, key, cause)) {
+        if !cause.is_some_and(|cause| retry_elsewhere(world, tick, key, cause)) {
             tick.inbox.forwards_ended.push((ticket, end, retries));
         }
     }
@@ -119,28 +121,28 @@
     }
 }
 
-/// Why a call may be tried elsewhere, and what that costs.
+/// Why a call may be retried, and what that costs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Cause {
     retry: Retry,
-    price: Price,
+    cost: Cost,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Price {
-    /// No target has seen the call.
+enum Cost {
+    /// Costs nothing, since no target has received the call.
     Free,
-    /// One repeat.
+    /// Costs one retry.
     One,
 }
 
 impl Cause {
     fn free(retry: Retry) -> Option<Cause> {
-        Some(Cause { retry, price: Price::Free })
+        Some(Cause { retry, cost: Cost::Free })
     }
 
     fn paid(retry: Retry) -> Option<Cause> {
-        Some(Cause { retry, price: Price::One })
+        Some(Cause { retry, cost: Cost::One })
     }
 }
 
@@ -148,7 +150,7 @@
     let call = world.tables.calls.get(key)?;
     match end {
         RunEnd::NotSent => Cause::free(Retry::NotSent),
-        // The node that took the call in tries it elsewhere.
+        // The node that forwarded the call retries it.
         _ if call.from.is_some() => None,
         RunEnd::Declined | RunEnd::Misdirected => Cause::paid(Retry::Declined),
         RunEnd::Broken if call.repeatable => Cause::paid(Retry::Broken),
@@ -168,11 +170,11 @@
     }
 }
 
-/// A nested call that failed fails the request it belongs to, so it is worth a repeat. Callers of
-/// root requests decide for themselves.
+/// A failed nested call fails its parent request, so it is worth a retry. Callers of root requests
+/// decide for themselves.
 fn failed_cause(call: &Call, status: u16) -> Option<Cause> {
-    let is_worth = call.nesting.is_nested() && call.repeatable && call.from.is_none();
-    if status >= SERVER_ERROR && is_worth { Cause::paid(Retry::Failed) } else { None }
+    let is_retryable = call.nesting.is_nested() && call.repeatable && call.from.is_none();
+    if status >= SERVER_ERROR && is_retryable { Cause::paid(Retry::Failed) } else { None }
 }
 
 fn refused_cause(call: &Call, outcome: Outcome, reason: Reason) -> Option<Cause> {
@@ -192,8 +194,8 @@
     }
 }
 
-/// Sends a call back to routing. Returns false if it may not be tried again, or nowhere else.
-fn again(world: &mut World, tick: &mut Tick, key: CallKey, cause: Cause) -> bool {
+/// Returns a call to routing. Returns false if it may not be retried or has nowhere else to go.
+fn retry_elsewhere(world: &mut World, tick: &mut Tick, key: CallKey, cause: Cause) -> bool {
     let Some(call) = world.tables.calls.get_mut(key) else { return false };
     if call.abandoned || call.cancelling || call.deadline <= tick.now {
         return false;
@@ -203,14 +205,14 @@
         (Stage::Forwarded, Some(peer)) => call.tried.push(peer),
         _ => call.lineage.own_tried = true,
     }
-    if !routing::has_place(world, tick.now, key) || !pay(world, key, cause.price) {
+    if !routing::has_place(world, tick.now, key) || !pay(world, key, cause.cost) {
         return false;
     }
     let tables = &mut world.tables;
     let Some(call) = tables.calls.get_mut(key) else { return false };
     call.peer = None;
     call.lineage.may_have_run |= matches!(cause.retry, Retry::Broken | Retry::Failed);
-    if call.is_logged || cause.price == Price::One {
+    if call.is_logged || cause.cost == Cost::One {
         let entry = Entry::new(Level::Info, "tried_again")
             .on(&call.id)
             .with("cause", cause.retry.to_string())
@@ -224,47 +226,47 @@
     true
 }
 
-/// Pays for trying a call again. Returns false if there is nothing left to pay with.
-fn pay(world: &mut World, key: CallKey, price: Price) -> bool {
+/// Pays for the retry of a call. Returns false if the budget or the free reroutes are used up.
+fn pay(world: &mut World, key: CallKey, cost: Cost) -> bool {
     let tables = &mut world.tables;
     let Some(call) = tables.calls.get_mut(key) else { return false };
-    match price {
-        Price::Free => {
+    match cost {
+        Cost::Free => {
             call.lineage.reroutes += 1;
-            call.lineage.reroutes <= MOST_REROUTES
+            call.lineage.reroutes <= MAX_REROUTES
         }
-        Price::One => {
+        Cost::One => {
             let Some(service) = tables.services.get_mut(call.service) else { return false };
             let allowance = &mut call.retry_allowance;
             let budget = Budget { allowance, tokens: &mut service.retry_tokens };
-            world.systems.retry.policy.repeat(budget)
+            world.systems.retry.policy.allow_retry(budget)
         }
     }
 }
 
-/// A first attempt of a request for a service earns a part of a repeat.
+/// Adds the fraction of a retry token that the first attempt of a request for a service earns.
 pub(super) fn earn(world: &mut World, key: CallKey) {
     let Some(call) = world.tables.calls.get(key) else { return };
     if call.from.is_some() {
         return;
     }
     let nodes = world.tables.peers.len() + 1;
-    let (ratio, burst) = share(&world.options.retry, nodes);
+    let (ratio, burst) = token_parameters(&world.options.retry, nodes);
     let Some(service) = world.tables.services.get_mut(call.service) else { return };
     service.retry_tokens = (service.retry_tokens + ratio).min(burst);
 }
 
-/// What each request earns at this node, and what a service may save up here.
-fn share(options: &options::Retry, nodes: usize) -> (f64, f64) {
+/// Retry tokens that each request earns at this node, and the maximum that a service may have here.
+fn token_parameters(options: &options::Retry, nodes: usize) -> (f64, f64) {
     let Some(fleet) = options.fleet else {
         return (f64::from(options.ratio_percent) / 100.0, f64::from(options.ratio_burst));
     };
-    let ratio = f64::from(fleet.permille) / 1_000.0 * OWN_PART;
-    let burst = f64::from(fleet.slack) * OWN_PART / nodes as f64;
+    let ratio = f64::from(fleet.permille) / 1_000.0 * OWN_SHARE;
+    let burst = f64::from(fleet.slack) * OWN_SHARE / nodes as f64;
     (ratio, burst.max(1.0))
 }
 
-/// Takes from a call what it lends to the node that it is passed to.
+/// Takes from a call the part of its allowance that it lends to the node it is forwarded to.
 pub(super) fn lend(world: &mut World, key: CallKey) -> u32 {
     let Some(call) = world.tables.calls.get_mut(key) else { return 0 };
     let kept = call.retry_allowance / 2;
@@ -273,13 +275,13 @@
     lent
 }
 
-/// What identifies a nested call among those of its parent.
+/// Hash that identifies a nested call among those of its parent.
 fn identity(request: &Request) -> u64 {
     hash::of(&[&request.method, &request.path, &request.fingerprint.0.to_string()])
 }
 
-/// Lends a part of its parent's allowance to a nested call. A repeat is paid for first.
-pub(super) fn adopt(
+/// Lends a part of its parent's allowance to a nested call. A retry of one is paid for first.
+pub(super) fn lend_to_nested(
     world: &mut World,
     parent: CallKey,
     service: ServiceKey,
@@ -292,7 +294,7 @@
     if call.lineage.nested.contains(&identity) {
         let allowance = &mut call.retry_allowance;
         let budget = Budget { allowance, tokens: &mut service.retry_tokens };
-        if !world.systems.retry.policy.nested(budget) {
+        if !world.systems.retry.policy.allow_nested_retry(budget) {
             return Err(Reason::RetryAllowance);
         }
         tables.counters.retry(Retry::Nested);
--- a/crates/mustardpin-world/src/system/retry/ratio.rs
+++ b/crates/mustardpin-world/src/system/retry/ratio.rs
@@ -15,15 +15,15 @@
 }
 
 impl Policy for Ratio {
-    fn repeat(&self, budget: Budget<'_>) -> bool {
+    fn allow_retry(&self, budget: Budget<'_>) -> bool {
         pay(budget)
     }
 
-    fn nested(&self, budget: Budget<'_>) -> bool {
+    fn allow_nested_retry(&self, budget: Budget<'_>) -> bool {
         pay(budget)
     }
 
-    fn resends(&self, _allowance: u32) -> Option<u32> {
+    fn max_resends(&self, _allowance: u32) -> Option<u32> {
         Some(u32::MAX)
     }
 }
--- a/crates/mustardpin-world/src/system/retry/unbounded.rs
+++ b/crates/mustardpin-world/src/system/retry/unbounded.rs
@@ -7,15 +7,15 @@
 pub(super) struct Unbounded;
 
 impl Policy for Unbounded {
-    fn repeat(&self, _budget: Budget<'_>) -> bool {
+    fn allow_retry(&self, _budget: Budget<'_>) -> bool {
         false
     }
 
-    fn nested(&self, _budget: Budget<'_>) -> bool {
+    fn allow_nested_retry(&self, _budget: Budget<'_>) -> bool {
         true
     }
 
-    fn resends(&self, _allowance: u32) -> Option<u32> {
+    fn max_resends(&self, _allowance: u32) -> Option<u32> {
         None
     }
 }
--- a/crates/mustardpin-world/src/table/resend.rs
+++ b/crates/mustardpin-world/src/table/resend.rs
@@ -1,4 +1,4 @@
-//! Root requests that failed a short time ago, to recognise when their callers send them again.
+//! Root requests that failed recently, to recognise when their callers resend them.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,19 +7,19 @@
 
 use crate::{clock::Millis, id::TeamKey};
 
-/// The table never holds more rows than this; the oldest go first.
-const MOST_ROWS: usize = 16_384;
+/// Maximum number of failures in the table; beyond it, the oldest are removed.
+const MAX_ROWS: usize = 16_384;
 
 /// A root request that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FailedRequest {
     /// When it last failed.
     pub at: Millis,
-    /// How often it was sent again.
+    /// How often it was resent.
     pub resends: u32,
 }
 
-/// The table of failed root requests, by the hash of what makes two requests the same.
+/// The table of failed root requests, by the hash of their identity, and the teams' resend budgets.
 #[derive(Debug, Default)]
 pub struct FailedRequests {
     rows: HashMap<u64, FailedRequest, RandomState>,
@@ -28,7 +28,7 @@
 }
 
 impl FailedRequests {
-    /// Adds a failure.
+    /// Records a failure of a request.
     pub fn put(&mut self, identity: u64, at: Millis) {
         self.rows.entry(identity).or_insert(FailedRequest { at, resends: 0 }).at = at;
         self.order.push_back((at, identity));
@@ -39,15 +39,15 @@
         self.rows.remove(&identity);
     }
 
-    /// The failed request, if it is remembered.
+    /// The failed request, if the table has it.
     pub fn get_mut(&mut self, identity: u64) -> Option<&mut FailedRequest> {
         self.rows.get_mut(&identity)
     }
 
-    /// Forgets requests that failed before a point, and the oldest if there are too many.
+    /// Removes requests that last failed before a point in time, and the oldest beyond the limit.
     pub fn forget(&mut self, before: Millis) {
         while let Some(&(at, identity)) = self.order.front() {
-            if at >= before && self.order.len() <= MOST_ROWS {
+            if at >= before && self.order.len() <= MAX_ROWS {
                 return;
             }
             self.order.pop_front();
@@ -57,17 +57,17 @@
         }
     }
 
-    /// What is left of a team's resend budget; a team starts with `burst`.
+    /// Remaining tokens of a team's resend budget; a team starts with `burst`.
     pub fn tokens(&mut self, team: TeamKey, burst: f64) -> Option<&mut f64> {
         Some(self.tokens.entry(team)?.or_insert(burst))
     }
 
-    /// How many requests are remembered.
+    /// Number of failed requests in the table.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
