--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -1,10 +1,10 @@
 //! Watches the store for changes, and keeps the age of the node's knowledge.
 //!
 //! Knowledge counts as of the point at which the question was sent, or, where the store tells how
-//! its steady clock stands, as of the point at which it must have answered: see [`pace`].
+//! its steady clock stands, as of the point at which it must have answered: see [`store_clock`].
 
-mod pace;
 mod relay;
+mod store_clock;
 
 use smallvec::SmallVec;
 
@@ -65,7 +65,7 @@
     /// Whether something has been written since the rows of nodes were read.
     is_behind: bool,
     is_connected: Option<bool>,
-    pace: pace::Pace,
+    pace: store_clock::Pace,
     relay: relay::State,
 }
 
