--- a/crates/mustardpin-world/src/message/fleet.rs
+++ b/crates/mustardpin-world/src/message/fleet.rs
@@ -1,10 +1,10 @@
-//! Messages that spread who is there, while the store does not say.
+//! Messages by which nodes learn of peers while they have not read the store.
 
 use crate::store::Announcement;
 
-/// A message about other nodes.
+/// A message about nodes of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Nodes that the sender is in contact with.
+    /// Announcements of the peers that the sender is connected to.
     Known(Vec<Announcement>),
 }
--- a/crates/mustardpin-world/src/message/freshness.rs
+++ b/crates/mustardpin-world/src/message/freshness.rs
@@ -1,29 +1,29 @@
-//! Messages that tell how old a node's knowledge from the store is.
+//! Messages about the age of a node's data from the store.
 
 use crate::{
     clock::Millis,
     id::{Revision, StoreVersion},
 };
 
-/// A message about the age of knowledge.
+/// A message about the age of data from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Message {
-    /// Asks how old the receiver's knowledge is.
+    /// Asks for the age of the receiver's data.
     Query {
-        /// Matches the answer. Chosen by the sender.
+        /// Number chosen by the sender, to match the reply to the query.
         number: u64,
     },
-    /// How old the sender's knowledge is.
+    /// Reports the age of the sender's data.
     Reply {
-        /// The number of the question.
+        /// The number of the query.
         number: u64,
-        /// The age of its knowledge of the configuration.
+        /// Age of the sender's configuration.
         age: Millis,
-        /// The configuration that it has.
+        /// Revision of the sender's configuration.
         revision: Revision,
-        /// The age of its knowledge of the rows by which nodes find each other.
+        /// Age of the sender's rows of nodes and roster.
         fleet_age: Millis,
-        /// The roster that it has.
+        /// Version of the sender's roster.
         roster: StoreVersion,
     },
 }
--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -1,9 +1,8 @@
-//! Keeps the table of peers: from rows in the store, and from connections.
+//! Keeps the table of peers, from rows in the store and from connections.
 //!
-//! Every node has a row in the store that says where it is. Rows never expire, so a node whose
-//! peers cannot reach it any more is forgotten by them: one of them removes its row. A node that
-//! finds its own row removed writes it again, and that shows its peers that it is there though
-//! they do not reach it.
+//! Every node has a row in the store with its address. Rows never expire; instead, when peers
+//! cannot reach a node any more, one of them removes its row. A node that finds its own row removed
+//! writes it again, which shows its peers that it is running though they cannot reach it.
 
 use std::collections::VecDeque;
 
@@ -21,24 +20,24 @@
     world::{Tick, World},
 };
 
-/// The time between two looks for peers that cannot be reached.
-const LOOK_PERIOD: Millis = Millis(1_000);
-/// The row of a node that has written it again is removed only after so many times as long.
+/// Interval between two checks for unreachable peers.
+const CHECK_INTERVAL: Millis = Millis(1_000);
+/// Factor on the time before removal for a node that has written a removed row again.
 const RETURNED_FACTOR: u64 = 40;
-/// Removed rows that are remembered, so that their return is noticed.
-const MOST_REMOVED: usize = 256;
-/// Two nodes that would forget the same peer do so at different times within this one.
-const FORGET_SPREAD: Millis = Millis(3_000);
+/// Maximum number of removed rows that are remembered to notice when one is written again.
+const MAX_REMOVED: usize = 256;
+/// Range of the random delay before a removal, so that nodes don't remove the same row at once.
+const FORGET_JITTER: Millis = Millis(3_000);
 
-/// What the system remembers from tick to tick.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    /// How far the node has read the store's area.
-    pub(super) read: Option<StoreVersion>,
-    /// The own row as the store has it, and its version.
-    pub(super) own: Option<(NodeId, StoreVersion)>,
-    next_look: Millis,
-    /// Nodes whose rows were removed, the last one at the end.
+    /// Store version up to which the node has read the rows of nodes.
+    pub(super) read_up_to: Option<StoreVersion>,
+    /// Node id and version of this node's row in the store.
+    pub(super) own_row: Option<(NodeId, StoreVersion)>,
+    next_check: Millis,
+    /// Nodes whose rows were removed, the latest at the end.
     removed: VecDeque<NodeId>,
 }
 
@@ -51,16 +50,16 @@
             continue;
         };
         let (whole, up_to) = (*whole, *up_to);
-        if world.systems.fleet.read.is_none_or(|read| read <= up_to) {
+        if world.systems.fleet.read_up_to.is_none_or(|read| read <= up_to) {
             let rows = rows.clone();
-            take_rows(world, tick, whole, &rows);
+            apply_rows(world, tick, whole, &rows);
         }
     }
     for change in std::mem::take(&mut tick.inbox.links) {
         match change {
             LinkChange::Seen(peer) => {
                 if peer.name != *world.identity.name() {
-                    meet(world, tick, peer);
+                    add_peer(world, tick, peer);
                 }
             }
             LinkChange::Up { peer, revision } => link_up(world, tick, peer, revision),
@@ -74,11 +73,11 @@
     }
     for (from, message) in std::mem::take(&mut tick.inbox.fleet) {
         let Message::Known(announcements) = message;
-        // The store's word goes first.
-        if world.systems.fleet.read.is_none() && world.tables.peers.by_node(from).is_some() {
+        // Once the node has read the store, the store's rows take precedence.
+        if world.systems.fleet.read_up_to.is_none() && world.tables.peers.by_node(from).is_some() {
             for announcement in announcements {
                 if announcement.name != *world.identity.name() {
-                    meet(world, tick, announcement);
+                    add_peer(world, tick, announcement);
                 }
             }
         }
@@ -91,25 +90,25 @@
         peer.unreported = 0;
         peer.revision = peer.revision.max(load.revision);
     }
-    forget_unreachable(world, tick);
+    remove_unreachable_rows(world, tick);
 }
 
-/// Whether the node has a connection to each of its peers, or knows that it cannot have one.
-pub(super) fn has_met(world: &World) -> bool {
-    let has_read = world.systems.fleet.read.is_some();
+/// Whether the node has read the rows of nodes and has connected, or tried to, to each peer.
+pub(super) fn all_peers_tried(world: &World) -> bool {
+    let has_read = world.systems.fleet.read_up_to.is_some();
     has_read && world.tables.peers.iter().all(|(_, peer)| peer.link != Link::New)
 }
 
-fn take_rows(world: &mut World, tick: &mut Tick, whole: bool, rows: &[Row]) {
+fn apply_rows(world: &mut World, tick: &mut Tick, whole: bool, rows: &[Row]) {
     if whole {
         drop_absent(world, tick, rows);
     }
     for row in rows {
         match (&row.key, &row.value) {
             (RowKey::Node(name), Some(Value::Node(announcement))) => {
-                found(world, tick, name, announcement, row.version);
+                row_found(world, tick, name, announcement, row.version);
             }
-            (RowKey::Node(name), None) => removed(world, tick, name),
+            (RowKey::Node(name), None) => row_removed(world, tick, name),
             (RowKey::Roster, Some(Value::Roster(roster)))
                 if row.version > world.tables.roster.version =>
             {
@@ -125,25 +124,25 @@
     }
 }
 
-/// Forgets the rows that a whole reading does not have.
+/// Handles rows that are missing from a complete read as removed.
 fn drop_absent(world: &mut World, tick: &mut Tick, rows: &[Row]) {
-    let is_there =
+    let exists =
         |name: &CompactString| rows.iter().any(|row| row.key == RowKey::Node(name.clone()));
-    if !is_there(world.identity.name()) {
-        world.systems.fleet.own = None;
+    if !exists(world.identity.name()) {
+        world.systems.fleet.own_row = None;
     }
     let peers = world.tables.peers.iter();
     let absent: Vec<CompactString> = peers
-        .filter(|(_, peer)| peer.row.is_some() && !is_there(&peer.announcement.name))
+        .filter(|(_, peer)| peer.row.is_some() && !exists(&peer.announcement.name))
         .map(|(_, peer)| peer.announcement.name.clone())
         .collect();
     for name in absent {
-        removed(world, tick, &name);
+        row_removed(world, tick, &name);
     }
 }
 
-/// The store has a row of a node.
-fn found(
+/// Handles a node's row in the store.
+fn row_found(
     world: &mut World,
     tick: &mut Tick,
     name: &CompactString,
@@ -151,7 +150,7 @@
     version: StoreVersion,
 ) {
     if name == world.identity.name() {
-        world.systems.fleet.own = Some((announcement.node, version));
+        world.systems.fleet.own_row = Some((announcement.node, version));
         return;
     }
     let known = world.tables.peers.by_name(name);
@@ -165,17 +164,17 @@
         }
     }
     let has_returned = world.systems.fleet.removed.contains(&announcement.node);
-    let key = meet(world, tick, announcement.clone());
+    let key = add_peer(world, tick, announcement.clone());
     if let Some(peer) = world.tables.peers.get_mut(key) {
         peer.row = Some(version);
         peer.has_returned = has_returned;
     }
 }
 
-/// The store has no row of a node any more.
-fn removed(world: &mut World, tick: &mut Tick, name: &CompactString) {
+/// Handles the removal of a node's row from the store.
+fn row_removed(world: &mut World, tick: &mut Tick, name: &CompactString) {
     if name == world.identity.name() {
-        world.systems.fleet.own = None;
+        world.systems.fleet.own_row = None;
         return;
     }
     let Some(key) = world.tables.peers.by_name(name) else { return };
@@ -185,7 +184,7 @@
     let is_up = peer.link == Link::Up;
     let removed = &mut world.systems.fleet.removed;
     removed.push_back(node);
-    if removed.len() > MOST_REMOVED {
+    if removed.len() > MAX_REMOVED {
         removed.pop_front();
     }
     if !is_up {
@@ -193,8 +192,8 @@
     }
 }
 
-/// Adds a peer, in place of another process in the same place.
-fn meet(world: &mut World, tick: &mut Tick, announcement: Announcement) -> PeerKey {
+/// Adds a peer, replacing an earlier process with the same node name.
+fn add_peer(world: &mut World, tick: &mut Tick, announcement: Announcement) -> PeerKey {
     let tables = &mut world.tables;
     let mut row = None;
     if let Some(known) = tables.peers.by_name(&announcement.name) {
@@ -241,7 +240,7 @@
         return;
     }
     let node = announcement.node;
-    let key = meet(world, tick, announcement);
+    let key = add_peer(world, tick, announcement);
     set_link(world, tick, node, Link::Up);
     if let Some(peer) = world.tables.peers.get_mut(key) {
         peer.revision = revision;
@@ -276,31 +275,31 @@
     }
     let has_row = peer.row.is_some();
     tick.log(entry);
-    if is_end && !has_row && world.systems.fleet.read.is_some() {
+    if is_end && !has_row && world.systems.fleet.read_up_to.is_some() {
         forget(world, tick, key, "gone");
     }
 }
 
-/// Removes the rows of peers that cannot be reached any more.
-fn forget_unreachable(world: &mut World, tick: &mut Tick) {
-    if tick.now < world.systems.fleet.next_look {
-        return tick.wake(world.systems.fleet.next_look);
+/// Removes the row of a peer that has been unreachable for too long.
+fn remove_unreachable_rows(world: &mut World, tick: &mut Tick) {
+    if tick.now < world.systems.fleet.next_check {
+        return tick.wake(world.systems.fleet.next_check);
     }
-    world.systems.fleet.next_look = tick.now + LOOK_PERIOD;
-    tick.wake(world.systems.fleet.next_look);
+    world.systems.fleet.next_check = tick.now + CHECK_INTERVAL;
+    tick.wake(world.systems.fleet.next_check);
     let peers = &world.tables.peers;
     let up = peers.iter().filter(|(_, peer)| peer.link == Link::Up).count();
-    // A node that reaches few others is more likely to be cut off itself.
+    // A node that reaches less than half of its peers is more likely to be cut off itself.
     if up * 2 < peers.len() || !world.tables.freshness.fleet_fresh {
         return;
     }
-    let after = world.options.fleet.forget_after + world.jitter(FORGET_SPREAD);
-    let lost = world.tables.peers.iter().find(|(_, peer)| {
+    let after = world.options.fleet.forget_after + world.jitter(FORGET_JITTER);
+    let unreachable = world.tables.peers.iter().find(|(_, peer)| {
         let factor = if peer.has_returned { RETURNED_FACTOR } else { 1 };
-        let is_lost = peer.link != Link::Up && peer.row.is_some();
-        is_lost && tick.now - peer.link_since >= Millis(after.0 * factor)
+        let is_unreachable = peer.link != Link::Up && peer.row.is_some();
+        is_unreachable && tick.now - peer.link_since >= Millis(after.0 * factor)
     });
-    let Some((_, peer)) = lost else { return };
+    let Some((_, peer)) = unreachable else { return };
     let Some(version) = peer.row else { return };
     let entry = Entry::new(Level::Info, "peer_unreachable")
         .with("peer", peer.announcement.name.clone())
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -1,7 +1,8 @@
-//! Watches the store for changes, and keeps the age of the node's knowledge.
+//! Watches the store for changes and tracks the age of the node's data from it.
 //!
-//! Knowledge counts as of the point at which the question was sent, or, where the store tells how
-//! its steady clock stands, as of the point at which it must have answered: see [`store_clock`].
+//! Data counts as of the time at which the query was sent or, if the reply carries the store's
+//! monotonic clock, as of the earliest time at which the store can have replied: see
+//! [`store_clock`].
 
 mod relay;
 mod store_clock;
@@ -17,55 +18,56 @@
     world::{Tick, World},
 };
 
-/// How long the store holds a question for rows of nodes, which change seldom. A reply about
-/// the configuration shows by the store's version whether there were any.
-const FLEET_WATCH: Millis = Millis(20_000);
-/// The pause after a question that was lost, and the same again by chance.
-const LOST_PAUSE: Millis = Millis(60);
-/// The pause after a question that was refused, and the same again by chance.
-const REFUSED_PAUSE: Millis = Millis(250);
-/// The longest pause between two questions, beside what is added by chance.
-const LONGEST_PAUSE: Millis = Millis(400);
+/// Wait of the long poll for rows of nodes, which change seldom. The store version in a reply about
+/// the configuration also shows whether they may have changed.
+const FLEET_LONG_POLL: Millis = Millis(20_000);
+/// Backoff after a query without a usable reply; random jitter of up to the same length is added.
+const LOST_BACKOFF: Millis = Millis(60);
+/// Backoff after a refused query; random jitter of up to the same length is added.
+const REFUSED_BACKOFF: Millis = Millis(250);
+/// Maximum backoff between two queries, without jitter.
+const MAX_BACKOFF: Millis = Millis(400);
 
-/// A question whose answer is overdue by this long is asked again.
-const OVERDUE: Millis = Millis(500);
-/// What is left of the window for the answer to a question that the store held, beside the time
-/// that answers take.
-const SPARE: Millis = Millis(100);
+/// A query is sent again if it has no reply this long after the end of its wait at the store.
+const REPLY_TIMEOUT: Millis = Millis(500);
+/// Part of the freshness window that a long poll leaves for its reply, in addition to the measured
+/// reply delay.
+const REPLY_MARGIN: Millis = Millis(100);
 
-/// Questions of one kind without a reply at most.
-const MOST_ASKED: usize = 3;
+/// Maximum number of pending queries of one watch.
+const MAX_PENDING: usize = 3;
 
-/// A question without a reply.
+/// A query to the store that has no reply yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Asked {
+struct Query {
     ticket: Ticket,
     sent: Millis,
-    /// When it is asked again.
-    overdue: Millis,
+    /// When the query is sent again.
+    retry_at: Millis,
 }
 
-/// The watch over one area.
+/// State of the queries for one area.
 #[derive(Debug, Default)]
 struct Watch {
-    asked: SmallVec<[Asked; MOST_ASKED]>,
-    next: Millis,
+    pending: SmallVec<[Query; MAX_PENDING]>,
+    next_query: Millis,
     failures: u32,
 }
 
-/// What the system remembers from tick to tick.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     configuration: Watch,
     fleet: Watch,
-    /// A question whether rows of nodes have changed, asked apart from the watch.
+    /// Immediate queries for changed rows of nodes, sent beside the long poll of `fleet`.
     catch_up: Watch,
-    /// How long the last answer was under way, at most.
-    delay: Millis,
-    /// Whether something has been written since the rows of nodes were read.
-    is_behind: bool,
+    /// Upper bound of the time that the last reply took to arrive.
+    reply_delay: Millis,
+    /// Whether the store has reached a later version than the one up to which the rows of nodes
+    /// were read.
+    fleet_is_behind: bool,
     is_connected: Option<bool>,
-    pace: store_clock::Pace,
+    store_clock: store_clock::StoreClock,
     relay: relay::State,
 }
 
@@ -74,45 +76,45 @@
         let ticket = tick.inbox.store[index].0;
         let state = &mut world.systems.freshness;
         let watches = [&mut state.configuration, &mut state.fleet, &mut state.catch_up];
-        let mut asked = None;
-        for (place, watch) in watches.into_iter().enumerate() {
-            if let Some(index) = watch.asked.iter().position(|asked| asked.ticket == ticket) {
-                asked = Some((place, watch.asked.remove(index).sent));
+        let mut found = None;
+        for (watch_index, watch) in watches.into_iter().enumerate() {
+            if let Some(index) = watch.pending.iter().position(|query| query.ticket == ticket) {
+                found = Some((watch_index, watch.pending.remove(index).sent));
             }
         }
-        let Some((place, sent)) = asked else { continue };
-        let area = if place == 0 { Area::Configuration } else { Area::Fleet };
-        replied(world, tick, index, area, place, sent);
+        let Some((watch_index, sent)) = found else { continue };
+        let area = if watch_index == 0 { Area::Configuration } else { Area::Fleet };
+        handle_reply(world, tick, index, area, watch_index, sent);
     }
     relay::run(world, tick);
-    ask(world, tick);
-    judge(world, tick);
+    send_due_queries(world, tick);
+    update_freshness(world, tick);
 }
 
-fn replied(
+fn handle_reply(
     world: &mut World,
     tick: &mut Tick,
     index: usize,
     area: Area,
-    place: usize,
+    watch_index: usize,
     sent: Millis,
 ) {
-    let pause = match &tick.inbox.store[index].1 {
+    let base_backoff = match &tick.inbox.store[index].1 {
         Reply::Changes { up_to, clock, .. } => {
             let (up_to, clock) = (*up_to, *clock);
-            let as_of = world.systems.freshness.pace.answered(clock, sent, tick.now);
-            world.systems.freshness.delay = tick.now - as_of;
+            let as_of = world.systems.freshness.store_clock.as_of(clock, sent, tick.now);
+            world.systems.freshness.reply_delay = tick.now - as_of;
             world.tables.latencies.step(Step::Store, tick.now - as_of);
-            learned(world, tick, area, up_to, as_of);
+            record_update(world, tick, area, up_to, as_of);
             let state = &mut world.systems.freshness;
-            let watch = watch_at(state, place);
+            let watch = watch_at(state, watch_index);
             watch.failures = 0;
             return;
         }
         Reply::Forgotten => {
             match area {
                 Area::Configuration => world.tables.configuration.read = None,
-                Area::Fleet => world.systems.fleet.read = None,
+                Area::Fleet => world.systems.fleet.read_up_to = None,
             }
             let entry = Entry::new(Level::Info, "store_history_gone");
             tick.log(entry.with("area", area_name(area)));
@@ -122,19 +124,19 @@
             let busy = *refused == Refused::Busy;
             let entry = Entry::new(Level::Warn, "store_refused");
             tick.log(entry.with("area", area_name(area)).with("busy", busy));
-            REFUSED_PAUSE
+            REFUSED_BACKOFF
         }
-        Reply::Lost | Reply::Written { .. } | Reply::Conflict => LOST_PAUSE,
+        Reply::Lost | Reply::Written { .. } | Reply::Conflict => LOST_BACKOFF,
     };
-    let jitter = world.jitter(pause);
-    let watch = watch_at(&mut world.systems.freshness, place);
-    let longer = Millis(pause.0 << watch.failures.min(4)).min(LONGEST_PAUSE);
+    let jitter = world.jitter(base_backoff);
+    let watch = watch_at(&mut world.systems.freshness, watch_index);
+    let backoff = Millis(base_backoff.0 << watch.failures.min(4)).min(MAX_BACKOFF);
     watch.failures += 1;
-    watch.next = tick.now + longer + jitter;
+    watch.next_query = tick.now + backoff + jitter;
 }
 
-fn watch_at(state: &mut State, place: usize) -> &mut Watch {
-    match place {
+fn watch_at(state: &mut State, watch_index: usize) -> &mut Watch {
+    match watch_index {
         0 => &mut state.configuration,
         1 => &mut state.fleet,
         _ => &mut state.catch_up,
@@ -148,93 +150,95 @@
     }
 }
 
-/// The store has answered a question about an area up to a version.
-fn learned(world: &mut World, tick: &Tick, area: Area, up_to: StoreVersion, as_of: Millis) {
+/// Records that the node has an area's data up to a store version, as of a point in time.
+fn record_update(world: &mut World, tick: &Tick, area: Area, up_to: StoreVersion, as_of: Millis) {
     let freshness = &mut world.tables.freshness;
     match area {
         Area::Configuration => {
             let read = &mut world.tables.configuration.read;
             *read = (*read).max(Some(up_to));
             freshness.configuration_as_of = freshness.configuration_as_of.max(Some(as_of));
-            if world.systems.fleet.read.is_some_and(|read| read >= up_to) {
-                // Nothing has been written since the rows of nodes were read.
+            if world.systems.fleet.read_up_to.is_some_and(|read| read >= up_to) {
+                // The rows of nodes were read up to this version, so they are current too.
                 freshness.fleet_as_of = freshness.fleet_as_of.max(Some(as_of));
-            } else if world.systems.fleet.read.is_some() {
-                world.systems.freshness.catch_up.next = tick.now;
+            } else if world.systems.fleet.read_up_to.is_some() {
+                world.systems.freshness.catch_up.next_query = tick.now;
                 world.systems.freshness.catch_up.failures = 0;
-                world.systems.freshness.is_behind = true;
+                world.systems.freshness.fleet_is_behind = true;
             }
         }
         Area::Fleet => {
-            let read = &mut world.systems.fleet.read;
+            let read = &mut world.systems.fleet.read_up_to;
             *read = (*read).max(Some(up_to));
             freshness.fleet_as_of = freshness.fleet_as_of.max(Some(as_of));
-            world.systems.freshness.is_behind = false;
+            world.systems.freshness.fleet_is_behind = false;
         }
     }
 }
 
-/// Keeps one question of each kind under way.
-fn ask(world: &mut World, tick: &mut Tick) {
-    let wait = longest_wait(world);
+/// Sends the queries that are due, so that each watch has one in flight.
+fn send_due_queries(world: &mut World, tick: &mut Tick) {
+    let wait = max_wait(world);
     if is_due(&world.systems.freshness.configuration, tick) {
         let (operation, wait) = match world.tables.configuration.read {
             None => (Operation::Read(Area::Configuration), Millis::ZERO),
             Some(after) => (Operation::Watch { area: Area::Configuration, after, wait }, wait),
         };
-        let asked = question(world, tick, operation, wait);
-        world.systems.freshness.configuration.asked.push(asked);
+        let query = send_query(world, tick, operation, wait);
+        world.systems.freshness.configuration.pending.push(query);
     }
     if is_due(&world.systems.freshness.fleet, tick) {
-        let (operation, wait) = match world.systems.fleet.read {
+        let (operation, wait) = match world.systems.fleet.read_up_to {
             None => (Operation::Read(Area::Fleet), Millis::ZERO),
-            Some(after) => {
-                (Operation::Watch { area: Area::Fleet, after, wait: FLEET_WATCH }, FLEET_WATCH)
-            }
+            Some(after) => (
+                Operation::Watch { area: Area::Fleet, after, wait: FLEET_LONG_POLL },
+                FLEET_LONG_POLL,
+            ),
         };
-        let asked = question(world, tick, operation, wait);
-        world.systems.freshness.fleet.asked.push(asked);
+        let query = send_query(world, tick, operation, wait);
+        world.systems.freshness.fleet.pending.push(query);
     }
-    let Some(after) = world.systems.fleet.read else { return };
-    if world.systems.freshness.is_behind && is_due(&world.systems.freshness.catch_up, tick) {
+    let Some(after) = world.systems.fleet.read_up_to else { return };
+    if world.systems.freshness.fleet_is_behind && is_due(&world.systems.freshness.catch_up, tick) {
         let operation = Operation::Watch { area: Area::Fleet, after, wait: Millis::ZERO };
-        let asked = question(world, tick, operation, Millis::ZERO);
-        world.systems.freshness.catch_up.asked.push(asked);
+        let query = send_query(world, tick, operation, Millis::ZERO);
+        world.systems.freshness.catch_up.pending.push(query);
     }
 }
 
-fn question(world: &mut World, tick: &mut Tick, operation: Operation, wait: Millis) -> Asked {
+fn send_query(world: &mut World, tick: &mut Tick, operation: Operation, wait: Millis) -> Query {
     let ticket = world.ask_store(tick, operation);
-    Asked { ticket, sent: tick.now, overdue: tick.now + wait + OVERDUE }
+    Query { ticket, sent: tick.now, retry_at: tick.now + wait + REPLY_TIMEOUT }
 }
 
-/// How long the store may hold a question for the configuration: the answer must come before the
-/// last one is too old, though it is as slow as the last one, and so is the question.
-fn longest_wait(world: &World) -> Millis {
+/// Maximum wait of the long poll for the configuration: its reply must arrive before the data of
+/// the last one leaves the freshness window, even if query and reply each take as long as the last
+/// reply.
+fn max_wait(world: &World) -> Millis {
     let options = &world.options.freshness;
-    let delay = world.systems.freshness.delay;
-    options.watch.min(options.window - SPARE - Millis(delay.0 * 3))
+    let delay = world.systems.freshness.reply_delay;
+    options.watch.min(options.window - REPLY_MARGIN - Millis(delay.0 * 3))
 }
 
-/// Whether a question may be sent: there is none, or its answer is overdue.
+/// Whether a query may be sent: none is pending, or the last one is overdue.
 fn is_due(watch: &Watch, tick: &mut Tick) -> bool {
-    if let Some(last) = watch.asked.last() {
-        if watch.asked.len() == MOST_ASKED {
+    if let Some(last) = watch.pending.last() {
+        if watch.pending.len() == MAX_PENDING {
             return false;
         }
-        if tick.now < last.overdue {
-            tick.wake(last.overdue);
+        if tick.now < last.retry_at {
+            tick.wake(last.retry_at);
             return false;
         }
     }
-    if tick.now < watch.next {
-        tick.wake(watch.next);
+    if tick.now < watch.next_query {
+        tick.wake(watch.next_query);
         return false;
     }
     true
 }
 
-fn judge(world: &mut World, tick: &mut Tick) {
+fn update_freshness(world: &mut World, tick: &mut Tick) {
     let window = world.options.freshness.window;
     let freshness = &mut world.tables.freshness;
     let age = freshness.configuration_age(tick.now);
--- a/crates/mustardpin-world/src/system/freshness/relay.rs
+++ b/crates/mustardpin-world/src/system/freshness/relay.rs
@@ -1,8 +1,8 @@
-//! Asks peers how old their knowledge from the store is, while the store does not answer this node.
+//! Asks peers for the age of their data from the store while the store doesn't reply to this node.
 //!
-//! A peer's answer counts as of the point at which it was asked, less the age that the peer tells:
-//! no later than the peer's own knowledge. It counts only if the node has the configuration that
-//! the peer speaks of.
+//! A peer's reply counts as of the time at which the query was sent, less the age in the reply: no
+//! later than the peer's own data. It counts only if this node has the configuration or roster to
+//! which that age applies.
 
 use rand::RngExt as _;
 
@@ -14,31 +14,31 @@
     world::{Tick, World},
 };
 
-/// A node asks a peer once its own knowledge is older than this.
-const OLD: Millis = Millis(1_800);
-/// The time between two questions, each to another peer.
-const ASK_PERIOD: Millis = Millis(300);
+/// Age of the node's own data from which it queries peers.
+const MIN_QUERY_AGE: Millis = Millis(1_800);
+/// Interval between two queries, each to a random peer.
+const QUERY_INTERVAL: Millis = Millis(300);
 
-/// What the relay remembers from tick to tick.
+/// State of the relay between ticks.
 #[derive(Debug, Default)]
 pub(super) struct State {
-    next: Millis,
+    next_query: Millis,
     last_number: u64,
-    /// The last question, and when it was sent.
-    asked: Option<(u64, Millis)>,
+    /// Number of the last query, and when it was sent.
+    pending: Option<(u64, Millis)>,
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
     for (from, message) in std::mem::take(&mut tick.inbox.freshness) {
         match message {
-            Message::Query { number } => tell(world, tick, from, number),
-            Message::Reply { .. } => told(world, from, message),
+            Message::Query { number } => send_reply(world, tick, from, number),
+            Message::Reply { .. } => handle_reply(world, from, message),
         }
     }
-    ask(world, tick);
+    send_query(world, tick);
 }
 
-fn tell(world: &mut World, tick: &mut Tick, to: NodeId, number: u64) {
+fn send_reply(world: &mut World, tick: &mut Tick, to: NodeId, number: u64) {
     let tables = &world.tables;
     let message = Message::Reply {
         number,
@@ -50,15 +50,16 @@
     world.send_to(tick, to, message);
 }
 
-fn told(world: &mut World, from: NodeId, message: Message) {
+fn handle_reply(world: &mut World, from: NodeId, message: Message) {
     let Message::Reply { number, age, revision, fleet_age, roster } = message else { return };
-    let Some((_, sent)) = world.systems.freshness.relay.asked.filter(|asked| asked.0 == number)
+    let Some((_, sent)) =
+        world.systems.freshness.relay.pending.filter(|pending| pending.0 == number)
     else {
         return;
     };
     let tables = &mut world.tables;
     if let Some(peer) = tables.peers.by_node(from).and_then(|peer| tables.peers.get_mut(peer)) {
-        // The configuration is asked for if it is later than the own one.
+        // A revision later than this node's makes it request the configuration from the peer.
         peer.revision = peer.revision.max(revision);
     }
     let freshness = &mut tables.freshness;
@@ -70,14 +71,14 @@
     }
 }
 
-fn ask(world: &mut World, tick: &mut Tick) {
+fn send_query(world: &mut World, tick: &mut Tick) {
     let freshness = &world.tables.freshness;
     let age = freshness.configuration_age(tick.now).max(freshness.fleet_age(tick.now));
-    if age < OLD {
-        return tick.wake(tick.now + (OLD - age));
+    if age < MIN_QUERY_AGE {
+        return tick.wake(tick.now + (MIN_QUERY_AGE - age));
     }
-    if tick.now < world.systems.freshness.relay.next {
-        return tick.wake(world.systems.freshness.relay.next);
+    if tick.now < world.systems.freshness.relay.next_query {
+        return tick.wake(world.systems.freshness.relay.next_query);
     }
     let peers = world.tables.peers.iter().filter(|(_, peer)| peer.link == Link::Up);
     let peers: Vec<PeerKey> = peers.map(|(key, _)| key).collect();
@@ -87,9 +88,9 @@
     let peer = peers[world.rng.random_range(0..peers.len())];
     let relay = &mut world.systems.freshness.relay;
     relay.last_number += 1;
-    relay.asked = Some((relay.last_number, tick.now));
-    relay.next = tick.now + ASK_PERIOD;
-    tick.wake(relay.next);
+    relay.pending = Some((relay.last_number, tick.now));
+    relay.next_query = tick.now + QUERY_INTERVAL;
+    tick.wake(relay.next_query);
     let number = relay.last_number;
     world.send(tick, peer, Message::Query { number });
 }
--- a/crates/mustardpin-world/src/system/freshness/store_clock.rs
+++ b/crates/mustardpin-world/src/system/freshness/store_clock.rs
@@ -1,54 +1,53 @@
-//! Works out when the store answered, from its steady clock.
+//! Estimates from the store's monotonic clock when the store sent a reply.
 //!
-//! The store's clock and this node's run at the same pace, but show different times. An answer that
-//! shows a time of the store came after its question was sent; so that time of the store lies no
-//! earlier than the sending. Once one such pair is known, any later time of the store has an
-//! earliest point on this node's clock. A question that the store holds for seconds then counts
-//! nearly as of its answer.
+//! The store's clock and this node's run at the same rate but have different origins. The store
+//! reads its clock after the node sent the query, so that reading is no earlier than the sending.
+//! One such pair gives each later reading of the store's clock an earliest time on this node's
+//! clock. The reply to a query that the store held for seconds then counts nearly as of its sending.
 
 use crate::clock::Millis;
 
-/// How much two steady clocks may drift apart, as one part in so many.
-const DRIFT: u64 = 2_000;
+/// Maximum drift between two monotonic clocks: one part in this many.
+const DRIFT_DIVISOR: u64 = 2_000;
 
-/// A point on both clocks: the store showed `store` no earlier than this node showed `own`.
+/// Readings of both clocks: the store's showed `store` no earlier than this node's showed `local`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Pair {
-    own: Millis,
+struct ClockSample {
+    local: Millis,
     store: Millis,
 }
 
-impl Pair {
-    /// The earliest point on this node's clock at which the store can have shown a time.
+impl ClockSample {
+    /// The earliest time on this node's clock at which the store's clock can have shown `store`.
     fn earliest(self, store: Millis) -> Millis {
         let elapsed = store - self.store;
-        self.own + elapsed - Millis(elapsed.0 / DRIFT)
+        self.local + elapsed - Millis(elapsed.0 / DRIFT_DIVISOR)
     }
 }
 
-/// What is known of the store's clock.
+/// Relation of the store's clock to this node's.
 #[derive(Debug, Default)]
-pub(super) struct Pace {
-    best: Option<Pair>,
+pub(super) struct StoreClock {
+    best: Option<ClockSample>,
 }
 
-impl Pace {
-    /// The point as of which an answer counts: between the sending of the question and now.
-    pub(super) fn answered(&mut self, clock: Option<Millis>, sent: Millis, now: Millis) -> Millis {
+impl StoreClock {
+    /// The time as of which a reply counts, between the sending of its query and now.
+    pub(super) fn as_of(&mut self, clock: Option<Millis>, sent: Millis, now: Millis) -> Millis {
         let Some(store) = clock else { return sent };
-        let this = Pair { own: sent, store };
+        let sample = ClockSample { local: sent, store };
         let Some(best) = self.best else {
-            self.best = Some(this);
+            self.best = Some(sample);
             return sent;
         };
         let earliest = best.earliest(store);
-        // A clock that went back, or ran ahead of this one, is another one than before.
+        // A clock that went back or ran ahead of this node's is a different clock than before.
         if store < best.store || earliest > now {
-            self.best = Some(this);
+            self.best = Some(sample);
             return sent;
         }
         if earliest <= sent {
-            self.best = Some(this);
+            self.best = Some(sample);
             return sent;
         }
         earliest
--- a/crates/mustardpin-world/src/system/registration.rs
+++ b/crates/mustardpin-world/src/system/registration.rs
@@ -1,7 +1,8 @@
-//! Keeps the node's own row in the store, by which others find it.
+//! Maintains this node's row in the store, by which other nodes find it.
 //!
-//! The row is written when the node starts, and again when someone removed it. A node whose target
-//! has gone removes it as it leaves; one that will be started again in its place leaves it there.
+//! The row is written when the node starts, and again when another node removed it. A draining node
+//! removes its row if its target has closed; otherwise it is expected to restart under the same node
+//! name and leaves the row in place.
 
 use crate::{
     clock::Millis,
@@ -10,45 +11,45 @@
     world::{Tick, World},
 };
 
-/// The time before a write that failed is tried again, and the same again by chance.
-const RETRY: Millis = Millis(400);
+/// Backoff before the retry of a failed write; random jitter of up to the same length is added.
+const RETRY_BACKOFF: Millis = Millis(400);
 
-/// What the system remembers from tick to tick.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    asked: Option<Asked>,
-    next_try: Millis,
+    pending: Option<PendingWrite>,
+    retry_at: Millis,
 }
 
-/// A write that has not been answered.
+/// A write that has no reply yet.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct PendingWrite {
     ticket: Ticket,
-    /// Whether the row is there after it.
+    /// Whether the operation writes the row rather than removes it.
     is_wanted: bool,
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    read_store(world, tick);
-    if world.systems.fleet.read.is_none() || world.systems.registration.asked.is_some() {
+    handle_replies(world, tick);
+    if world.systems.fleet.read_up_to.is_none() || world.systems.registration.pending.is_some() {
         return;
     }
     let own = world.identity.node();
-    let is_there = world.systems.fleet.own;
+    let stored_row = world.systems.fleet.own_row;
     let is_wanted = !world.tables.leaving || world.tables.target.is_open();
-    let is_right = match is_there {
+    let is_correct = match stored_row {
         Some((node, _)) => is_wanted && node == own,
         None => !is_wanted,
     };
-    // A leaving node whose row is that of an earlier process need not put it right.
-    if is_right || (is_wanted && world.tables.leaving) {
+    // A draining node need not replace or add its row.
+    if is_correct || (is_wanted && world.tables.leaving) {
         return;
     }
-    if tick.now < world.systems.registration.next_try {
-        return tick.wake(world.systems.registration.next_try);
+    if tick.now < world.systems.registration.retry_at {
+        return tick.wake(world.systems.registration.retry_at);
     }
     let key = RowKey::Node(world.identity.name().clone());
-    let version = is_there.map(|(_, version)| version).unwrap_or_default();
+    let version = stored_row.map(|(_, version)| version).unwrap_or_default();
     let expected = vec![(key.clone(), version)];
     let operation = if is_wanted {
         let value = Value::Node(world.identity.announcement.clone());
@@ -58,27 +59,27 @@
     };
     tick.log(Entry::new(Level::Info, "registering").with("present", is_wanted));
     let ticket = world.ask_store(tick, operation);
-    world.systems.registration.asked = Some(Asked { ticket, is_wanted });
+    world.systems.registration.pending = Some(PendingWrite { ticket, is_wanted });
 }
 
-fn read_store(world: &mut World, tick: &Tick) {
-    let Some(asked) = world.systems.registration.asked else { return };
+fn handle_replies(world: &mut World, tick: &Tick) {
+    let Some(pending) = world.systems.registration.pending else { return };
     for index in 0..tick.inbox.store.len() {
         let (ticket, reply) = &tick.inbox.store[index];
-        if *ticket != asked.ticket {
+        if *ticket != pending.ticket {
             continue;
         }
-        world.systems.registration.asked = None;
+        world.systems.registration.pending = None;
         match reply {
             Reply::Written { version } => {
-                let own = asked.is_wanted.then_some((world.identity.node(), *version));
-                world.systems.fleet.own = own;
+                let own = pending.is_wanted.then_some((world.identity.node(), *version));
+                world.systems.fleet.own_row = own;
             }
             _ => {
-                // A row that is not as expected comes as a change; one that was written after all
-                // too.
-                let pause = RETRY + world.jitter(RETRY);
-                world.systems.registration.next_try = tick.now + pause;
+                // A row in an unexpected state arrives as a change, and so does a write that took
+                // effect although its reply was lost.
+                let backoff = RETRY_BACKOFF + world.jitter(RETRY_BACKOFF);
+                world.systems.registration.retry_at = tick.now + backoff;
             }
         }
     }
--- a/crates/mustardpin-world/src/system/roster.rs
+++ b/crates/mustardpin-world/src/system/roster.rs
@@ -1,7 +1,7 @@
-//! Keeps the roster in step with the nodes that are there.
+//! Keeps the roster equal to the nodes that have rows in the store.
 //!
-//! Any node may propose a roster; the store lets one through. A node that comes or goes for a
-//! moment changes nothing: it keeps its row, and so its place in the roster.
+//! Any node may propose a roster; the store accepts one. A node that is away for a short time
+//! changes nothing: it keeps its row, and so its membership.
 
 use crate::{
     clock::Millis,
@@ -10,31 +10,31 @@
     world::{Tick, World},
 };
 
-/// The time between two looks at who is there.
-const LOOK_PERIOD: Millis = Millis(250);
+/// Interval between two comparisons of the roster with the rows of nodes.
+const CHECK_INTERVAL: Millis = Millis(250);
 
-/// What the system remembers from tick to tick.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
-    next_look: Millis,
-    /// When the node proposes, if the difference lasts until then.
+    next_check: Millis,
+    /// When the node proposes a roster, if the current one still differs then.
     due: Option<Millis>,
-    asked: Option<Ticket>,
+    pending: Option<Ticket>,
 }
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
-    read_store(world, tick);
-    if tick.now < world.systems.roster.next_look {
-        return tick.wake(world.systems.roster.next_look);
+    handle_replies(world, tick);
+    if tick.now < world.systems.roster.next_check {
+        return tick.wake(world.systems.roster.next_check);
     }
-    world.systems.roster.next_look = tick.now + LOOK_PERIOD;
-    tick.wake(world.systems.roster.next_look);
-    if world.systems.roster.asked.is_some() || !world.tables.freshness.fleet_fresh {
+    world.systems.roster.next_check = tick.now + CHECK_INTERVAL;
+    tick.wake(world.systems.roster.next_check);
+    if world.systems.roster.pending.is_some() || !world.tables.freshness.fleet_fresh {
         return;
     }
-    let present = present(world);
+    let registered = registered(world);
     let current: Vec<Member> = world.tables.roster.members().collect();
-    if present == current || present.is_empty() {
+    if registered == current || registered.is_empty() {
         world.systems.roster.due = None;
         return;
     }
@@ -42,22 +42,22 @@
         Some(due) => due,
         None => {
             let options = &world.options.roster;
-            let (patience, spread) = (options.patience, options.spread);
-            tick.now + patience + world.jitter(spread)
+            let (delay, spread) = (options.patience, options.spread);
+            tick.now + delay + world.jitter(spread)
         }
     };
     world.systems.roster.due = Some(due);
     if tick.now < due {
         return;
     }
-    propose(world, tick, present);
+    propose(world, tick, registered);
 }
 
 /// The nodes that have rows in the store.
-fn present(world: &World) -> Vec<Member> {
+fn registered(world: &World) -> Vec<Member> {
     let peers = world.tables.peers.iter().filter(|(_, peer)| peer.row.is_some());
     let peers = peers.map(|(_, peer)| &peer.announcement);
-    let own = world.systems.fleet.own.is_some().then_some(&world.identity.announcement);
+    let own = world.systems.fleet.own_row.is_some().then_some(&world.identity.announcement);
     let members = peers.chain(own).map(|announcement| Member {
         name: announcement.name.clone(),
         data_centre: announcement.data_centre.clone(),
@@ -78,16 +78,16 @@
     let expected = vec![(RowKey::Roster, version)];
     let puts = vec![(RowKey::Roster, Value::Roster(Roster { members }))];
     let operation = Operation::Write { expected, puts, removals: Vec::new() };
-    world.systems.roster.asked = Some(world.ask_store(tick, operation));
+    world.systems.roster.pending = Some(world.ask_store(tick, operation));
     world.systems.roster.due = None;
 }
 
-fn read_store(world: &mut World, tick: &Tick) {
-    let asked = world.systems.roster.asked;
-    let replies = tick.inbox.store.iter().filter(|(ticket, _)| Some(*ticket) == asked);
+fn handle_replies(world: &mut World, tick: &Tick) {
+    let pending = world.systems.roster.pending;
+    let replies = tick.inbox.store.iter().filter(|(ticket, _)| Some(*ticket) == pending);
     for (_, reply) in replies {
-        world.systems.roster.asked = None;
-        // Whatever the outcome, the row itself comes as a change.
+        world.systems.roster.pending = None;
+        // Whether or not the write succeeded, the roster's row arrives as a change.
         if !matches!(reply, Reply::Written { .. }) {
             world.systems.roster.due = None;
         }
--- a/crates/mustardpin-world/src/system/stop.rs
+++ b/crates/mustardpin-world/src/system/stop.rs
@@ -48,7 +48,8 @@
 pub(super) fn judge(world: &mut World, tick: &mut Tick) {
     let started = world.systems.stop.started.unwrap_or(tick.now);
     let tables = &world.tables;
-    let has_met = fleet::has_met(world) || tick.now - started >= world.options.fleet.meet_within;
+    let has_met =
+        fleet::all_peers_tried(world) || tick.now - started >= world.options.fleet.meet_within;
     let has_configuration = tables.configuration.revision.0 > 0;
     let ready = has_configuration && has_met && tables.freshness.fresh && !tables.leaving;
     if !has_met {
--- a/crates/mustardpin-world/src/table/roster.rs
+++ b/crates/mustardpin-world/src/table/roster.rs
@@ -1,8 +1,8 @@
-//! The roster: the places among which the parts of teams' rates are dealt out.
+//! The roster: the members among which the shards of teams' rates are distributed.
 //!
-//! Every node that knows the same roster finds the same keeper for each part. A process that is
-//! killed and started again in its place keeps its parts, so only places that come or go for good
-//! move any.
+//! All nodes with the same roster compute the same owner for each shard. A member is a node name,
+//! so a process that restarts under its name keeps its shards; shards move only when members are
+//! added or removed.
 
 use compact_str::CompactString;
 
@@ -14,21 +14,21 @@
     store::{self, Member},
 };
 
-/// The roster as this node knows it.
+/// The roster as last read from the store.
 #[derive(Debug, Default)]
 pub struct Roster {
-    /// The version of its row in the store; zero if it was never written.
+    /// Version of the roster's row in the store; zero if it was never written.
     pub version: StoreVersion,
-    /// When this node learned of it.
+    /// When this node received the roster.
     pub learned_at: Millis,
-    /// Whether it was there when this node first read the store, rather than changed since.
+    /// Whether this is the roster that this node read first, rather than a later change.
     pub is_settled: bool,
-    /// The members by data centre, each list in the order of names.
+    /// Member names by data centre, sorted.
     by_data_centre: Vec<(CompactString, Vec<CompactString>)>,
 }
 
 impl Roster {
-    /// Takes another roster in.
+    /// Replaces the roster by another version.
     pub fn replace(&mut self, version: StoreVersion, roster: &store::Roster, now: Millis) {
         self.is_settled = self.version == StoreVersion(0);
         self.version = version;
@@ -37,9 +37,9 @@
         let mut members: Vec<&Member> = roster.members.iter().collect();
         members.sort();
         for member in members {
-            let place =
+            let entry =
                 self.by_data_centre.iter_mut().find(|(name, _)| *name == member.data_centre);
-            match place {
+            match entry {
                 Some((_, names)) => names.push(member.name.clone()),
                 None => {
                     let names = vec![member.name.clone()];
@@ -50,7 +50,7 @@
         self.by_data_centre.sort();
     }
 
-    /// How many members there are.
+    /// Number of members.
     pub fn len(&self) -> usize {
         self.by_data_centre.iter().map(|(_, names)| names.len()).sum()
     }
@@ -60,23 +60,23 @@
         self.by_data_centre.is_empty()
     }
 
-    /// Whether this place is a member.
+    /// Whether a node name in a data centre is a member.
     pub fn contains(&self, data_centre: &str, name: &str) -> bool {
-        let place = self.by_data_centre.iter().find(|(other, _)| other == data_centre);
-        place.is_some_and(|(_, names)| names.iter().any(|other| other == name))
+        let entry = self.by_data_centre.iter().find(|(other, _)| other == data_centre);
+        entry.is_some_and(|(_, names)| names.iter().any(|other| other == name))
     }
 
-    /// All members.
+    /// All members, sorted by data centre and name.
     pub fn members(&self) -> impl Iterator<Item = Member> {
         self.by_data_centre.iter().flat_map(|(data_centre, names)| {
             names.iter().map(|name| Member { name: name.clone(), data_centre: data_centre.clone() })
         })
     }
 
-    /// The data centre and the name of the place that keeps a part of a team's rate.
+    /// The data centre and member name of the owner of a shard of a team's rate.
     ///
-    /// The parts of a team are dealt out to the data centres in turn, so that each has some of
-    /// them when it is cut off from the others.
+    /// A team's shards are assigned to the data centres round-robin, so that each has some of them
+    /// when it is cut off from the others.
     ///
     /// ```
     /// use mustardpin_world::{message::rate_limit::Shard, table::roster::Roster};
@@ -92,10 +92,10 @@
         if count == 0 {
             return None;
         }
-        let turn = (team % count + u64::from(shard.0)) % count;
-        let (data_centre, names) = &self.by_data_centre[turn as usize];
-        let part = team ^ u64::from(shard.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let keeper = names.iter().max_by_key(|name| hash::score(name, part))?;
-        Some((data_centre, keeper))
+        let index = (team % count + u64::from(shard.0)) % count;
+        let (data_centre, names) = &self.by_data_centre[index as usize];
+        let seed = team ^ u64::from(shard.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let owner = names.iter().max_by_key(|name| hash::score(name, seed))?;
+        Some((data_centre, owner))
     }
 }
