--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -93,7 +93,7 @@
     remove_unreachable_rows(world, tick);
 }
 
-/// Whether the node has read the rows of nodes and has connected, or tried to, to each peer.
+/// Whether the node has read the rows of nodes and has connected to each peer or failed to.
 pub(super) fn all_peers_tried(world: &World) -> bool {
     let has_read = world.systems.fleet.read_up_to.is_some();
     has_read && world.tables.peers.iter().all(|(_, peer)| peer.link != Link::New)
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -35,7 +35,7 @@
 const REPLY_MARGIN: Millis = Millis(100);
 
 /// Maximum number of pending queries of one watch.
-const MAX_PENDING: usize = 3;
+const MAX_PENDING_QUERIES: usize = 3;
 
 /// A query to the store that has no reply yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 /// State of the queries for one area.
 #[derive(Debug, Default)]
 struct Watch {
-    pending: SmallVec<[Query; MAX_PENDING]>,
+    pending: SmallVec<[Query; MAX_PENDING_QUERIES]>,
     next_query: Millis,
     failures: u32,
 }
@@ -223,7 +223,7 @@
 /// Whether a query may be sent: none is pending, or the last one is overdue.
 fn is_due(watch: &Watch, tick: &mut Tick) -> bool {
     if let Some(last) = watch.pending.last() {
-        if watch.pending.len() == MAX_PENDING {
+        if watch.pending.len() == MAX_PENDING_QUERIES {
             return false;
         }
         if tick.now < last.retry_at {
--- a/crates/mustardpin-world/src/system/rate_limit/leasing.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/leasing.rs
@@ -27,7 +27,7 @@
 /// Minimum time before another lease request to a bucket that was empty.
 const EMPTY_BACKOFF: Millis = Millis(5);
 /// Interval at which the smoothed demand is updated.
-const SMOOTHING_PERIOD: Millis = Millis(100);
+const SMOOTHING_INTERVAL: Millis = Millis(100);
 /// Weight of the latest interval in the smoothed demand.
 const SMOOTHING_WEIGHT: f64 = 0.3;
 /// Demand, in requests per second, below which no tokens are leased ahead.
@@ -44,7 +44,7 @@
 /// A message with lease requests that awaits its grants; the shards are in the message's order.
 #[derive(Debug)]
 struct SentMessage {
-    sent: Millis,
+    sent_at: Millis,
     shards: Vec<(TeamKey, Shard)>,
 }
 
@@ -68,8 +68,8 @@
 
 /// Adds granted tokens to the caches; a grant without tokens starts a backoff.
 pub(super) fn handle_grants(world: &mut World, now: Millis, number: u64, grants: &[LeaseGrant]) {
-    let Some(message) = world.systems.rate_limit.leasing.unanswered.remove(&number) else { return };
-    for (&(team, shard), grant) in message.shards.iter().zip(grants) {
+    let Some(sent) = world.systems.rate_limit.leasing.unanswered.remove(&number) else { return };
+    for (&(team, shard), grant) in sent.shards.iter().zip(grants) {
         let Some(parameters) = parameters(world, team) else { continue };
         let Some(cache) = world.tables.rate_limits.token_caches.get_mut(team) else { continue };
         let Some(shard_state) = cache.shard_states.get_mut(usize::from(shard.0)) else { continue };
@@ -80,7 +80,7 @@
         if grant.tokens == 0 {
             shard_state.backoff_until = now + grant.next_in.max(EMPTY_BACKOFF);
         } else {
-            cache.leases.push_back((message.sent + parameters.lease_duration, grant.tokens));
+            cache.leases.push_back((sent.sent_at + parameters.lease_duration, grant.tokens));
         }
         world.systems.rate_limit.leasing.due.push(team);
     }
@@ -121,7 +121,7 @@
 fn smooth_demand(world: &mut World, now: Millis) {
     let state = &mut world.systems.rate_limit.leasing;
     let elapsed = now - state.smoothed_at;
-    if elapsed < SMOOTHING_PERIOD {
+    if elapsed < SMOOTHING_INTERVAL {
         return;
     }
     state.smoothed_at = now;
@@ -136,8 +136,8 @@
     }
 }
 
-/// Admits all waiting calls of a team that has no limit or no longer exists. For the latter, the
-/// check of the key follows in a later stage.
+/// Admits all waiting calls of a team that has no limit or no longer exists; for the latter, a later
+/// stage checks the key again.
 fn admit_all(world: &mut World, now: Millis, team: TeamKey) {
     let Some(cache) = world.tables.rate_limits.token_caches.remove(team) else { return };
     for call in cache.waiting {
@@ -344,7 +344,7 @@
 fn send_requests(world: &mut World, tick: &mut Tick) {
     let reply_within = world.options.rate_limit.reply_within;
     let state = &mut world.systems.rate_limit.leasing;
-    state.unanswered.retain(|_, message| tick.now < message.sent + reply_within);
+    state.unanswered.retain(|_, sent| tick.now < sent.sent_at + reply_within);
     for (owner, requests) in std::mem::take(&mut state.outbox) {
         let state = &mut world.systems.rate_limit.leasing;
         state.last_number += 1;
@@ -356,7 +356,7 @@
                 cache.shard_states[usize::from(shard.0)].pending = Some((number, tick.now));
             }
         }
-        state.unanswered.insert(number, SentMessage { sent: tick.now, shards });
+        state.unanswered.insert(number, SentMessage { sent_at: tick.now, shards });
         let requests = requests.into_iter().map(|(_, request)| request).collect();
         world.send(tick, owner, message::Message::Request { number, requests });
     }
--- a/crates/mustardpin-world/src/system/rate_limit/ownership.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/ownership.rs
@@ -20,9 +20,11 @@
 /// A bucket that another node handed over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Handover {
+    /// Version of the roster by which this node owns the shard.
     pub(super) roster: StoreVersion,
     pub(super) team: CompactString,
     pub(super) shard: Shard,
+    /// Level of the bucket, in millionths of a token.
     pub(super) level: u64,
 }
 
--- a/crates/mustardpin-world/src/system/registration.rs
+++ b/crates/mustardpin-world/src/system/registration.rs
@@ -41,7 +41,7 @@
         Some((node, _)) => is_wanted && node == own,
         None => !is_wanted,
     };
-    // A draining node need not replace or add its row.
+    // A draining node need not replace the row of an earlier process or add a missing one.
     if is_correct || (is_wanted && world.tables.leaving) {
         return;
     }
--- a/crates/mustardpin-world/src/table/rate_limit.rs
+++ b/crates/mustardpin-world/src/table/rate_limit.rs
@@ -167,7 +167,7 @@
 /// A shard and its owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardOwner {
-    /// The shard.
+    /// Number of the shard.
     pub shard: Shard,
     /// The owner's member name; `None` if this node owns the shard.
     pub member: Option<CompactString>,
