--- a/crates/mustardpin-world/src/message.rs
+++ b/crates/mustardpin-world/src/message.rs
@@ -5,7 +5,7 @@
 pub mod fleet;
 pub mod freshness;
 pub mod quarantine;
-pub mod share;
+pub mod rate_limit;
 pub mod shedding;
 
 use derive_more::From;
@@ -21,7 +21,7 @@
     /// Age of what a node knows from the store.
     Freshness(freshness::Message),
     /// Tokens of rate limits.
-    Share(share::Message),
+    RateLimit(rate_limit::Message),
     /// Cost of runs on the sender's target, by route.
     Shedding(shedding::Message),
     /// Crashes of targets, and the requests that were running then.
--- a/crates/mustardpin-world/src/system/finish.rs
+++ b/crates/mustardpin-world/src/system/finish.rs
@@ -52,7 +52,7 @@
         parent.retry_allowance += call.retry_allowance;
         parent.lineage.children.retain(|child| *child != key);
     }
-    resend::finished(world, tick.now, call, &verdict);
+    resend::record_outcome(world, tick.now, call, &verdict);
     cancel_children(world, tick, call);
 }
 
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -159,7 +159,7 @@
     arrival: &mut Arrival,
 ) -> Result<(), Refusal> {
     if let Some(parent) = arrival.parent {
-        let allowance = retry::adopt(world, parent, arrival.service, request);
+        let allowance = retry::lend_to_nested(world, parent, arrival.service, request);
         arrival.retry_allowance = allowance.map_err(Refusal::not_run)?;
         return Ok(());
     }
--- a/crates/mustardpin-world/src/table.rs
+++ b/crates/mustardpin-world/src/table.rs
@@ -8,12 +8,12 @@
 pub mod health;
 pub mod latency;
 pub mod peer;
+pub mod rate_limit;
 pub mod registry;
 pub mod resend;
 pub mod roster;
 pub mod route;
 pub mod service;
-pub mod share;
 pub mod suspect;
 pub mod target;
 pub mod team;
@@ -37,7 +37,7 @@
     /// The other nodes that this node knows.
     pub peers: peer::Peers,
     /// Root requests that failed recently, to recognise client retries.
-    pub failed: resend::Failed,
+    pub failed: resend::FailedRequests,
     /// The nodes between which the shards of teams' rates are distributed.
     pub roster: roster::Roster,
     /// Routes, from the configuration.
@@ -45,7 +45,7 @@
     /// Services, and the peers whose targets belong to them.
     pub services: service::Services,
     /// Buckets and leased tokens of teams' rates.
-    pub shares: share::Shares,
+    pub rate_limits: rate_limit::RateLimits,
     /// Requests that were running when a target crashed.
     pub suspects: suspect::Suspects,
     /// This node's target.
