--- a/crates/mustardpin-node/src/control/thread.rs
+++ b/crates/mustardpin-node/src/control/thread.rs
@@ -14,7 +14,7 @@
 use crate::{
     admin::Answer,
     control::{Borders, Input},
-    traffic::Order,
+    traffic::TrafficCommand,
 };
 
 /// Events taken in at most before a tick.
@@ -52,7 +52,7 @@
     world: World,
     borders: Borders,
     /// Orders of the present tick for the traffic side.
-    orders: Vec<Order>,
+    orders: Vec<TrafficCommand>,
     proposals: HashMap<ProposalTicket, oneshot::Sender<Answer>>,
     last_proposal: ProposalTicket,
     wake: Millis,
@@ -111,27 +111,27 @@
             self.carry_out(command);
         }
         if !self.orders.is_empty() {
-            self.borders.traffic.carry_out(std::mem::take(&mut self.orders));
+            self.borders.traffic.execute(std::mem::take(&mut self.orders));
         }
     }
 
     fn carry_out(&mut self, command: Command) {
         let order = match command {
-            Command::Run(run) => Order::Run(run),
-            Command::Forward(forward) => Order::Forward(forward),
+            Command::Run(run) => TrafficCommand::Run(run),
+            Command::Forward(forward) => TrafficCommand::Forward(forward),
             Command::Finish { ticket, verdict, retries } => {
-                Order::Finish { ticket, verdict, retries }
+                TrafficCommand::Finish { ticket, verdict, retries }
             }
-            Command::Cancel(ticket) => Order::Cancel(ticket),
-            Command::Send { to, message } => Order::Send { to, message },
-            Command::Link(announcement) => Order::Link(announcement),
-            Command::Unlink(node) => Order::Unlink(node),
-            Command::Target(place) => Order::Target(place),
-            Command::Publish { load, urgent } => Order::Publish { load, urgent },
-            Command::Callers(callers) => Order::Callers(callers),
-            Command::Ready(ready) => Order::Ready(ready),
-            Command::CloseIdle => Order::CloseIdle,
-            Command::Exit => Order::Exit,
+            Command::Cancel(ticket) => TrafficCommand::Cancel(ticket),
+            Command::Send { to, message } => TrafficCommand::Send { to, message },
+            Command::Link(announcement) => TrafficCommand::Link(announcement),
+            Command::Unlink(node) => TrafficCommand::Unlink(node),
+            Command::Target(place) => TrafficCommand::Target(place),
+            Command::Publish { load, urgent } => TrafficCommand::Publish { load, urgent },
+            Command::Callers(callers) => TrafficCommand::Callers(callers),
+            Command::Ready(ready) => TrafficCommand::Ready(ready),
+            Command::CloseIdle => TrafficCommand::CloseIdle,
+            Command::Exit => TrafficCommand::Exit,
             Command::Store(ticket, operation) => {
                 return self.borders.store.ask(ticket, operation);
             }
--- a/crates/mustardpin-node/src/node.rs
+++ b/crates/mustardpin-node/src/node.rs
@@ -27,7 +27,7 @@
     log, metrics,
     reload::Watch,
     server,
-    traffic::{self, Board, Credentials, Dispatcher, Door, Setup, Stage},
+    traffic::{self, Credentials, Dispatcher, Exchanges, ListenerKind, Setup, Stage},
 };
 
 /// The size of the stack of a traffic thread, in bytes.
@@ -102,7 +102,7 @@
         };
         let clock = Arc::new(Monotonic::start());
         let (control, inputs) = Handle::channel();
-        let board = Board::new(Setup {
+        let board = Exchanges::new(Setup {
             control: control.clone(),
             clock: Arc::clone(&clock) as _,
             limits: launch.limits,
@@ -125,10 +125,10 @@
         let world = World::new(identity, launch.options, rand::random());
         let control_thread = control::spawn(world, borders, inputs)?;
         handle.spawn(dispatching);
-        handle.spawn(Arc::clone(&board).hand_over_events());
+        handle.spawn(Arc::clone(&board).send_events());
         handle.spawn(Arc::clone(&board).send_lag_probes());
         for &seed in &launch.seeds {
-            handle.spawn(traffic::seek(Arc::clone(&board), seed));
+            handle.spawn(traffic::discover(Arc::clone(&board), seed));
         }
         let connections = TaskTracker::new();
         if let Some(listener) = listeners.admin.take() {
@@ -235,7 +235,7 @@
 
 /// Waits until the node has finished, and lets connections end.
 async fn leave(
-    board: Arc<Board>,
+    board: Arc<Exchanges>,
     connections: TaskTracker,
     limits: Limits,
     left: mpsc::Sender<()>,
@@ -295,13 +295,13 @@
     }
 
     /// Serves connections of callers, targets and peers.
-    fn serve(self, board: &Arc<Board>, connections: &TaskTracker) {
+    fn serve(self, board: &Arc<Exchanges>, connections: &TaskTracker) {
         let doors = [
-            (Some(self.callers), Door::Callers),
-            (self.local, Door::Local),
-            (self.reports, Door::Reports),
-            (self.readiness, Door::Readiness),
-            (Some(self.peers), Door::Peers),
+            (Some(self.callers), ListenerKind::Callers),
+            (self.local, ListenerKind::Local),
+            (self.reports, ListenerKind::Reports),
+            (self.readiness, ListenerKind::Readiness),
+            (Some(self.peers), ListenerKind::Peers),
         ];
         for (listener, door) in doors {
             let Some(listener) = listener else { continue };
--- a/crates/mustardpin-node/src/traffic.rs
+++ b/crates/mustardpin-node/src/traffic.rs
@@ -1,22 +1,22 @@
 //! The traffic side: takes HTTP requests in, carries them to targets and peers, and whole answers
 //! back.
 //!
-//! Requests in progress are rows of one table, `board::Board`. Tasks for connections put requests
+//! Requests in progress are rows of one table, `exchanges::Exchanges`. Tasks for connections put requests
 //! into it and tell the control thread; the control thread's orders are carried out in batches by
 //! `dispatch`; tasks for runs and for links to peers tell how attempts ended. An answer that needs
 //! no decision goes to its caller at once, and the control thread learns of it afterwards.
 
-mod answer;
-mod board;
 mod body;
 mod caller;
 mod dispatch;
 mod exchange;
+mod exchanges;
 mod http2;
 mod intake;
 mod link;
 mod listener;
 mod outbox;
+mod response;
 mod sender;
 mod target;
 
@@ -32,23 +32,23 @@
 };
 
 pub use self::{
-    board::{Board, Setup},
     dispatch::Dispatcher,
-    link::{Credentials, seek},
-    listener::{Door, Stage, serve},
+    exchanges::{Exchanges, Setup},
+    link::{Credentials, discover},
+    listener::{ListenerKind, Stage, serve},
 };
 
 /// The pause after a connection could not be accepted, mostly for want of file descriptors.
-pub const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// What the control thread wants done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
+pub enum TrafficCommand {
     /// Send the request to the own target.
     Run(Run),
     /// Pass the request to a peer.
     Forward(Forward),
-    /// Answer the caller. No further order about the request follows.
+    /// CallerResponse the caller. No further order about the request follows.
     Finish {
         /// The request.
         ticket: Ticket,
@@ -92,5 +92,5 @@
 /// The traffic side as a whole, as the control thread sees it.
 pub trait Traffic: Send {
     /// Carries orders out, in their order, without waiting.
-    fn carry_out(&mut self, orders: Vec<Order>);
+    fn execute(&mut self, orders: Vec<TrafficCommand>);
 }
--- a/crates/mustardpin-node/src/traffic/caller.rs
+++ b/crates/mustardpin-node/src/traffic/caller.rs
@@ -24,11 +24,11 @@
 };
 
 use crate::traffic::{
-    answer::Answer,
-    board::Board,
     caller::{reading::Reading, writing::Writing},
+    exchanges::Exchanges,
     http2,
-    listener::{Door, Stage},
+    listener::{ListenerKind, Stage},
+    response::CallerResponse,
 };
 
 /// How much is read at once, in bytes.
@@ -45,9 +45,9 @@
 /// A request whose answer has not begun to go back.
 enum Turn {
     /// It is on the board.
-    Open { ticket: Ticket, answer: oneshot::Receiver<Answer>, terms: Terms },
+    Open { ticket: Ticket, answer: oneshot::Receiver<CallerResponse>, terms: Terms },
     /// Its answer is there.
-    Answered(Answer, Terms),
+    Answered(CallerResponse, Terms),
 }
 
 /// How an answer goes back.
@@ -61,8 +61,8 @@
 
 /// What all parts of a connection share.
 struct Connection {
-    board: Arc<Board>,
-    door: Door,
+    board: Arc<Exchanges>,
+    door: ListenerKind,
     stage: watch::Receiver<Stage>,
     turns: VecDeque<Turn>,
     /// Whether the request that was read last is the last one.
@@ -77,8 +77,8 @@
 
 /// Serves a connection until it ends.
 pub(super) async fn serve(
-    board: Arc<Board>,
-    door: Door,
+    board: Arc<Exchanges>,
+    door: ListenerKind,
     mut stream: TcpStream,
     stage: watch::Receiver<Stage>,
 ) {
@@ -138,7 +138,7 @@
         let mut writing = Writing::default();
         let mut is_first = true;
         loop {
-            if is_first && buffer.starts_with(HTTP2_PREFACE) && self.door == Door::Callers {
+            if is_first && buffer.starts_with(HTTP2_PREFACE) && self.door == ListenerKind::Callers {
                 return Ok(Protocol::Http2);
             }
             is_first &= buffer.is_empty();
@@ -186,7 +186,7 @@
         }
     }
 
-    fn start(&mut self, writing: &mut Writing, answer: Answer, terms: Terms) {
+    fn start(&mut self, writing: &mut Writing, answer: CallerResponse, terms: Terms) {
         let is_serving = *self.stage.borrow() == Stage::Serving;
         let closes = !terms.is_persistent || !is_serving;
         let closes = writing.start(answer, terms.takes_chunks, closes);
@@ -290,13 +290,15 @@
     /// The port that requests of this connection come in at.
     fn port(&self) -> Port {
         match self.door {
-            Door::Local => Port::Local,
+            ListenerKind::Local => Port::Local,
             _ => Port::Callers,
         }
     }
 }
 
-async fn received(answer: Option<&mut oneshot::Receiver<Answer>>) -> Option<Answer> {
+async fn received(
+    answer: Option<&mut oneshot::Receiver<CallerResponse>>,
+) -> Option<CallerResponse> {
     match answer {
         Some(answer) => answer.await.ok(),
         None => std::future::pending().await,
--- a/crates/mustardpin-node/src/traffic/caller/reading.rs
+++ b/crates/mustardpin-node/src/traffic/caller/reading.rs
@@ -11,11 +11,11 @@
 use tokio::{sync::mpsc, time::Instant};
 
 use crate::traffic::{
-    answer::Answer,
     body::{self, Body, Piece, Writer},
     caller::{Connection, Terms, Turn, writing::Writing},
     intake,
-    listener::Door,
+    listener::ListenerKind,
+    response::CallerResponse,
 };
 
 /// A request whose body is being read.
@@ -322,7 +322,7 @@
     refuse_with(connection, answer)
 }
 
-fn refuse_with(connection: &mut Connection, answer: Answer) -> bool {
+fn refuse_with(connection: &mut Connection, answer: CallerResponse) -> bool {
     let terms = Terms { is_persistent: false, takes_chunks: true };
     connection.is_closing = true;
     connection.is_cut_short = true;
@@ -356,20 +356,20 @@
 }
 
 /// Answers requests that are for the node itself.
-fn answer_here(connection: &Connection, head: &Request, body: &Body) -> Option<Answer> {
+fn answer_here(connection: &Connection, head: &Request, body: &Body) -> Option<CallerResponse> {
     let board = &connection.board;
     match connection.door {
-        Door::Callers | Door::Peers => None,
-        Door::Readiness => {
+        ListenerKind::Callers | ListenerKind::Peers => None,
+        ListenerKind::Readiness => {
             let is_known = board.dialect.is_readiness_check(head);
             let status = match (is_known, board.is_ready()) {
                 (false, _) => 404,
                 (true, true) => 200,
                 (true, false) => 503,
             };
-            Some(Answer::plain(status, Bytes::new()))
+            Some(CallerResponse::plain(status, Bytes::new()))
         }
-        Door::Local | Door::Reports => {
+        ListenerKind::Local | ListenerKind::Reports => {
             let bytes = match body {
                 Body::Whole(bytes) => bytes.clone(),
                 Body::Empty | Body::Stream(_) => Bytes::new(),
@@ -380,9 +380,11 @@
                     if let Some(event) = report.event {
                         board.outbox.push(event);
                     }
-                    Some(Answer::plain(report.status, report.body))
+                    Some(CallerResponse::plain(report.status, report.body))
+                }
+                None if connection.door == ListenerKind::Reports => {
+                    Some(CallerResponse::plain(404, Bytes::new()))
                 }
-                None if connection.door == Door::Reports => Some(Answer::plain(404, Bytes::new())),
                 None => None,
             }
         }
--- a/crates/mustardpin-node/src/traffic/caller/writing.rs
+++ b/crates/mustardpin-node/src/traffic/caller/writing.rs
@@ -7,8 +7,8 @@
 use tokio::net::tcp::WriteHalf;
 
 use crate::traffic::{
-    answer::Answer,
     body::{Body, Piece, Stream},
+    response::CallerResponse,
 };
 
 /// A body that is still coming.
@@ -34,8 +34,13 @@
 
 impl Writing {
     /// Begins an answer. Returns whether the connection closes after it.
-    pub(super) fn start(&mut self, answer: Answer, takes_chunks: bool, closes: bool) -> bool {
-        let Answer { status, fields, body } = answer;
+    pub(super) fn start(
+        &mut self,
+        answer: CallerResponse,
+        takes_chunks: bool,
+        closes: bool,
+    ) -> bool {
+        let CallerResponse { status, fields, body } = answer;
         let has_no_end =
             matches!(&body, Body::Stream(rest) if rest.length.is_none()) && !takes_chunks;
         let closes = closes || has_no_end;
--- a/crates/mustardpin-node/src/traffic/dispatch.rs
+++ b/crates/mustardpin-node/src/traffic/dispatch.rs
@@ -7,9 +7,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::traffic::{
-    Order, Traffic,
-    board::Board,
+    Traffic, TrafficCommand,
     exchange::{Attempt, Outbound},
+    exchanges::Exchanges,
     link::Passed,
     listener::Stage,
     target,
@@ -17,13 +17,13 @@
 
 /// The control thread's end: hands orders to the task that carries them out.
 pub struct Dispatcher {
-    orders: mpsc::UnboundedSender<Vec<Order>>,
+    orders: mpsc::UnboundedSender<Vec<TrafficCommand>>,
 }
 
 impl Dispatcher {
     /// A dispatcher, and the task that carries its orders out until the runtime ends.
-    pub fn new(board: Arc<Board>) -> (Dispatcher, impl Future<Output = ()> + Send) {
-        let (sender, mut orders) = mpsc::unbounded_channel::<Vec<Order>>();
+    pub fn new(board: Arc<Exchanges>) -> (Dispatcher, impl Future<Output = ()> + Send) {
+        let (sender, mut orders) = mpsc::unbounded_channel::<Vec<TrafficCommand>>();
         let task = async move {
             while let Some(batch) = orders.recv().await {
                 for order in batch {
@@ -36,42 +36,42 @@
 }
 
 impl Traffic for Dispatcher {
-    fn carry_out(&mut self, orders: Vec<Order>) {
+    fn execute(&mut self, orders: Vec<TrafficCommand>) {
         // Fails only once the runtime has ended; then nobody is left to serve.
         let _ = self.orders.send(orders);
     }
 }
 
-fn carry_out(board: &Arc<Board>, order: Order) {
+fn carry_out(board: &Arc<Exchanges>, order: TrafficCommand) {
     match order {
-        Order::Run(run) => start_run(board, run),
-        Order::Forward(forward) => pass(board, forward),
-        Order::Finish { ticket, verdict, retries } => {
+        TrafficCommand::Run(run) => start_run(board, run),
+        TrafficCommand::Forward(forward) => pass(board, forward),
+        TrafficCommand::Finish { ticket, verdict, retries } => {
             let refusal = match verdict {
                 Verdict::Pass => None,
                 Verdict::Refuse(refusal) => Some(refusal),
             };
             board.finish(ticket, refusal, retries);
         }
-        Order::Cancel(ticket) => board.cancel(ticket),
-        Order::Send { to, message } => board.links.send(to, message),
-        Order::Link(announcement) => board.links.keep(board, announcement),
-        Order::Unlink(node) => board.links.drop(node),
-        Order::Target(place) => board.target.set(place),
-        Order::Publish { load, urgent } => {
+        TrafficCommand::Cancel(ticket) => board.cancel(ticket),
+        TrafficCommand::Send { to, message } => board.links.send(to, message),
+        TrafficCommand::Link(announcement) => board.links.keep(board, announcement),
+        TrafficCommand::Unlink(node) => board.links.drop(node),
+        TrafficCommand::Target(place) => board.target.set(place),
+        TrafficCommand::Publish { load, urgent } => {
             board.set_load(load);
             if urgent {
                 board.links.publish(load.into());
             }
         }
-        Order::Callers(callers) => board.set_callers(callers),
-        Order::Ready(ready) => board.set_ready(ready),
-        Order::CloseIdle => board.advance_stage(Stage::Leaving),
-        Order::Exit => board.advance_stage(Stage::Exiting),
+        TrafficCommand::Callers(callers) => board.set_callers(callers),
+        TrafficCommand::Ready(ready) => board.set_ready(ready),
+        TrafficCommand::CloseIdle => board.advance_stage(Stage::Leaving),
+        TrafficCommand::Exit => board.advance_stage(Stage::Exiting),
     }
 }
 
-fn start_run(board: &Arc<Board>, run: Run) {
+fn start_run(board: &Arc<Exchanges>, run: Run) {
     let (stop, stopped) = oneshot::channel();
     let ticket = run.ticket;
     match board.begin(ticket, Attempt::Running(stop)) {
@@ -83,7 +83,7 @@
     }
 }
 
-fn pass(board: &Arc<Board>, forward: Forward) {
+fn pass(board: &Arc<Exchanges>, forward: Forward) {
     let ticket = forward.ticket;
     let Some(link) = board.links.to(forward.to) else {
         return board.forward_ended(ticket, ForwardEnd::NotSent, 0, None);
@@ -103,7 +103,7 @@
 }
 
 /// The fields that this node adds, if the request began here.
-fn entry_fields(board: &Board, request: &Outbound, team: Option<&str>) -> Vec<u8> {
+fn entry_fields(board: &Exchanges, request: &Outbound, team: Option<&str>) -> Vec<u8> {
     let mut fields = Vec::new();
     if !request.is_from_peer {
         let entry = EntryHeaders { caller_service: &board.service, team };
--- a/crates/mustardpin-node/src/traffic/exchange.rs
+++ b/crates/mustardpin-node/src/traffic/exchange.rs
@@ -7,7 +7,7 @@
 use mustardpin_world::{Millis, refusal::Refusal, request::Fingerprint};
 use tokio::sync::oneshot;
 
-use crate::traffic::{answer::Answer, body::Body, link::Outgoing, sender::Sender};
+use crate::traffic::{body::Body, link::Outgoing, response::CallerResponse, sender::Sender};
 
 slotmap::new_key_type! {
     /// Names a row of the table of exchanges.
@@ -75,9 +75,9 @@
 }
 
 /// Who waits for the answer.
-pub(super) enum AnswerTo {
+pub(super) enum ResponseRecipient {
     /// A caller's connection.
-    Caller(oneshot::Sender<Answer>),
+    Caller(oneshot::Sender<CallerResponse>),
     /// A peer that passed the request on.
     Peer {
         /// The connection that it came over.
@@ -107,19 +107,19 @@
     /// The request.
     pub(super) request: Arc<Outbound>,
     /// Who waits for the answer; `None` once it has begun.
-    pub(super) answer_to: Option<AnswerTo>,
+    pub(super) answer_to: Option<ResponseRecipient>,
     /// The attempt in progress.
     pub(super) attempt: Attempt,
     /// A whole answer that waits for the control thread's word.
-    pub(super) held: Option<Answer>,
+    pub(super) held: Option<CallerResponse>,
     /// Until when the caller waits, if it has said so.
     pub(super) expires: Option<Millis>,
 }
 
 /// The final word on a request, for whoever waits for it.
-pub(super) enum Word {
+pub(super) enum FinalResponse {
     /// A target's answer.
-    Answer(Answer),
+    Response(CallerResponse),
     /// The system's own.
     Refusal(Refusal),
 }
--- a/crates/mustardpin-node/src/traffic/board.rs
+++ b/crates/mustardpin-node/src/traffic/exchanges.rs
@@ -24,11 +24,11 @@
     control::Handle,
     launch::Limits,
     traffic::{
-        answer::Answer,
-        exchange::{AnswerTo, Attempt, Exchange, ExchangeKey, Outbound, Word},
+        exchange::{Attempt, Exchange, ExchangeKey, FinalResponse, Outbound, ResponseRecipient},
         link::{Credentials, Links},
         listener::Stage,
         outbox::Outbox,
+        response::CallerResponse,
         target::Target,
     },
 };
@@ -54,7 +54,7 @@
 }
 
 /// The table of requests in progress, and what all connections share.
-pub struct Board {
+pub struct Exchanges {
     pub(super) outbox: Outbox,
     pub(super) clock: Arc<dyn Clock>,
     pub(super) limits: Limits,
@@ -70,11 +70,11 @@
     stage: watch::Sender<Stage>,
 }
 
-impl Board {
+impl Exchanges {
     /// The state of a node that has not taken any request in.
-    pub fn new(setup: Setup) -> Arc<Board> {
+    pub fn new(setup: Setup) -> Arc<Exchanges> {
         let Setup { control, clock, limits, dialect, service, credentials } = setup;
-        Arc::new(Board {
+        Arc::new(Exchanges {
             outbox: Outbox::new(control),
             target: Target::new(),
             links: Links::new(credentials),
@@ -97,13 +97,13 @@
     }
 
     /// Hands events to the control thread until the runtime ends.
-    pub async fn hand_over_events(self: Arc<Board>) {
+    pub async fn send_events(self: Arc<Exchanges>) {
         self.outbox.hand_over().await;
     }
 
     /// Sends lag probes until the runtime ends, by which the control thread sees how far the node
     /// is behind.
-    pub async fn send_lag_probes(self: Arc<Board>) {
+    pub async fn send_lag_probes(self: Arc<Exchanges>) {
         loop {
             let due = self.clock.now() + LAG_PROBE_INTERVAL;
             tokio::time::sleep(Duration::from_millis(LAG_PROBE_INTERVAL.0)).await;
@@ -192,7 +192,7 @@
     }
 
     /// A run on the own target has ended, with a whole answer or without.
-    pub(super) fn run_ended(&self, ticket: Ticket, end: RunEnd, answer: Option<Answer>) {
+    pub(super) fn run_ended(&self, ticket: Ticket, end: RunEnd, answer: Option<CallerResponse>) {
         let is_whole = matches!(end, RunEnd::Answered { .. });
         self.settle(ticket, answer, is_whole);
         self.outbox.push(Event::RunEnded(ticket, end));
@@ -204,7 +204,7 @@
         ticket: Ticket,
         end: ForwardEnd,
         retries: u32,
-        answer: Option<Answer>,
+        answer: Option<CallerResponse>,
     ) {
         let is_whole = matches!(end, ForwardEnd::Answered { .. });
         self.settle(ticket, answer, is_whole);
@@ -212,18 +212,18 @@
     }
 
     /// An answer that is still coming begins to go to whoever waits for it.
-    pub(super) fn pass_on(&self, ticket: Ticket, answer: Answer) {
+    pub(super) fn pass_on(&self, ticket: Ticket, answer: CallerResponse) {
         let answer_to = {
             let mut exchanges = self.exchanges();
             exchanges.get_mut(key_of(ticket)).and_then(|exchange| exchange.answer_to.take())
         };
         if let Some(answer_to) = answer_to {
-            self.tell(answer_to, Word::Answer(answer), 0, None);
+            self.tell(answer_to, FinalResponse::Response(answer), 0, None);
         }
     }
 
     /// Passes a whole answer on that needs no decision, or keeps it until there is one.
-    fn settle(&self, ticket: Ticket, answer: Option<Answer>, is_whole: bool) {
+    fn settle(&self, ticket: Ticket, answer: Option<CallerResponse>, is_whole: bool) {
         let mut exchanges = self.exchanges();
         let key = key_of(ticket);
         let Some(exchange) = exchanges.get_mut(key) else { return };
@@ -245,7 +245,7 @@
         let Some(exchange) = exchanges.remove(key) else { return };
         drop(exchanges);
         if let Some(answer_to) = exchange.answer_to {
-            self.tell(answer_to, Word::Answer(answer), 0, exchange.expires);
+            self.tell(answer_to, FinalResponse::Response(answer), 0, exchange.expires);
         }
     }
 
@@ -274,30 +274,36 @@
         let Some(exchange) = self.exchanges().remove(key_of(ticket)) else { return };
         let Some(answer_to) = exchange.answer_to else { return };
         let word = match (refusal, exchange.held) {
-            (Some(refusal), _) => Word::Refusal(refusal),
-            (None, Some(answer)) => Word::Answer(answer),
+            (Some(refusal), _) => FinalResponse::Refusal(refusal),
+            (None, Some(answer)) => FinalResponse::Response(answer),
             (None, None) => return,
         };
         self.tell(answer_to, word, retries, exchange.expires);
     }
 
-    fn tell(&self, answer_to: AnswerTo, word: Word, retries: u32, expires: Option<Millis>) {
+    fn tell(
+        &self,
+        answer_to: ResponseRecipient,
+        word: FinalResponse,
+        retries: u32,
+        expires: Option<Millis>,
+    ) {
         match (answer_to, word) {
-            (AnswerTo::Caller(caller), word) => {
+            (ResponseRecipient::Caller(caller), word) => {
                 let answer = match word {
-                    Word::Answer(answer) => answer,
-                    Word::Refusal(refusal) => {
+                    FinalResponse::Response(answer) => answer,
+                    FinalResponse::Refusal(refusal) => {
                         let left = expires.map(|expires| expires - self.clock.now());
-                        Answer::refusal(&*self.dialect, &refusal, left)
+                        CallerResponse::refusal(&*self.dialect, &refusal, left)
                     }
                 };
                 // The caller may have gone in the meantime.
                 let _ = caller.send(answer);
             }
-            (AnswerTo::Peer { sender, stream }, Word::Answer(answer)) => {
+            (ResponseRecipient::Peer { sender, stream }, FinalResponse::Response(answer)) => {
                 sender.answer(stream, answer, retries, self.load());
             }
-            (AnswerTo::Peer { sender, stream }, Word::Refusal(refusal)) => {
+            (ResponseRecipient::Peer { sender, stream }, FinalResponse::Refusal(refusal)) => {
                 sender.refuse(stream, &refusal, retries, self.load());
             }
         }
--- a/crates/mustardpin-node/src/traffic/http2.rs
+++ b/crates/mustardpin-node/src/traffic/http2.rs
@@ -27,11 +27,11 @@
 };
 
 use crate::traffic::{
-    answer::Answer,
-    board::Board,
     body::{self, Body, Piece, Stream, Writer},
+    exchanges::Exchanges,
     intake,
-    listener::{Door, Stage},
+    listener::{ListenerKind, Stage},
+    response::CallerResponse,
 };
 
 /// Bytes of one request that a caller may send ahead.
@@ -51,8 +51,8 @@
 
 /// Serves a connection whose first bytes have been read.
 pub(super) async fn serve(
-    board: Arc<Board>,
-    door: Door,
+    board: Arc<Exchanges>,
+    door: ListenerKind,
     stream: TcpStream,
     buffer: BytesMut,
     mut stage: watch::Receiver<Stage>,
@@ -80,13 +80,13 @@
 }
 
 async fn answer(
-    board: Arc<Board>,
-    door: Door,
+    board: Arc<Exchanges>,
+    door: ListenerKind,
     request: http::Request<Incoming>,
 ) -> Result<Response<Outgoing>, Broken> {
     let (parts, incoming) = request.into_parts();
     let head = head_of(&parts);
-    let port = if door == Door::Local { Port::Local } else { Port::Callers };
+    let port = if door == ListenerKind::Local { Port::Local } else { Port::Callers };
     let body = match read(&board, port, &head, incoming).await {
         Ok(body) => body,
         Err(reason) => return Ok(response(intake::refusal(&board, reason, None))),
@@ -104,7 +104,7 @@
 
 /// Reports that the caller has gone if it does so before the answer is there.
 struct Guard {
-    board: Arc<Board>,
+    board: Arc<Exchanges>,
     ticket: Option<Ticket>,
 }
 
@@ -127,7 +127,7 @@
 
 /// Reads a body until it is whole, or passes it on as it comes if it is too large to keep.
 async fn read(
-    board: &Arc<Board>,
+    board: &Arc<Exchanges>,
     port: Port,
     head: &head::Request,
     mut incoming: Incoming,
@@ -158,7 +158,7 @@
 }
 
 /// The trailers of a request that go on, as lines.
-fn lines_of(board: &Board, port: Port, head: &head::Request, frame: &Frame<Bytes>) -> Bytes {
+fn lines_of(board: &Exchanges, port: Port, head: &head::Request, frame: &Frame<Bytes>) -> Bytes {
     let fields = frame.trailers_ref().into_iter().flatten();
     let fields = fields.map(|(name, value)| (name.as_str(), value.as_bytes()));
     intake::trailers(board, port, head, &fields.collect())
@@ -166,7 +166,7 @@
 
 /// A body that goes on as it comes.
 struct Feeding {
-    board: Arc<Board>,
+    board: Arc<Exchanges>,
     port: Port,
     head: head::Request,
     writer: Writer,
@@ -195,7 +195,7 @@
     }
 }
 
-fn response(answer: Answer) -> Response<Outgoing> {
+fn response(answer: CallerResponse) -> Response<Outgoing> {
     let mut response = Response::new(Outgoing::new(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     append(response.headers_mut(), &answer.fields);
--- a/crates/mustardpin-node/src/traffic/intake.rs
+++ b/crates/mustardpin-node/src/traffic/intake.rs
@@ -17,10 +17,10 @@
 use tokio::sync::oneshot;
 
 use crate::traffic::{
-    answer::Answer,
-    board::Board,
     body::Body,
-    exchange::{AnswerTo, Attempt, Exchange, Outbound, OutboundHead},
+    exchange::{Attempt, Exchange, Outbound, OutboundHead, ResponseRecipient},
+    exchanges::Exchanges,
+    response::CallerResponse,
 };
 
 /// When callers should send again what a node has no room for.
@@ -31,16 +31,16 @@
     /// Its name on the board.
     pub(super) ticket: Ticket,
     /// Where its answer comes.
-    pub(super) answer: oneshot::Receiver<Answer>,
+    pub(super) answer: oneshot::Receiver<CallerResponse>,
 }
 
 /// Puts a caller's request on the board, or says what to answer instead.
 pub(super) fn open(
-    board: &Arc<Board>,
+    board: &Arc<Exchanges>,
     port: Port,
     head: &head::Request,
     body: Body,
-) -> Result<Opened, Box<Answer>> {
+) -> Result<Opened, Box<CallerResponse>> {
     let parsed = board.dialect.read_request(port, head);
     let parsed = parsed.map_err(|error| Box::new(refusal(board, error.reason, None)))?;
     let expires = parsed.timeout.map(|timeout| board.clock.now() + timeout);
@@ -49,7 +49,7 @@
     let (id, fingerprint) = (outbound.id.clone(), outbound.fingerprint);
     let exchange = Exchange {
         request: Arc::new(outbound),
-        answer_to: Some(AnswerTo::Caller(caller)),
+        answer_to: Some(ResponseRecipient::Caller(caller)),
         attempt: Attempt::None,
         held: None,
         expires,
@@ -73,7 +73,7 @@
 
 /// The trailers of a request that go on, as lines.
 pub(super) fn trailers(
-    board: &Board,
+    board: &Exchanges,
     port: Port,
     head: &head::Request,
     trailers: &Headers,
@@ -90,7 +90,12 @@
 }
 
 /// The request as it goes on.
-fn outbound(board: &Board, head: &head::Request, parsed: &ParsedRequest, body: Body) -> Outbound {
+fn outbound(
+    board: &Exchanges,
+    head: &head::Request,
+    parsed: &ParsedRequest,
+    body: Body,
+) -> Outbound {
     let mut fields = Vec::with_capacity(256);
     let passes =
         |name: &str, value: &[u8]| board.dialect.forwards_request_header(parsed, name, value);
@@ -117,7 +122,7 @@
 }
 
 /// The answer of a refusal that the world has no part in.
-pub(super) fn refusal(board: &Board, reason: Reason, left: Option<Millis>) -> Answer {
+pub(super) fn refusal(board: &Exchanges, reason: Reason, left: Option<Millis>) -> CallerResponse {
     let refusal = match reason {
         Reason::InProgressLimit => Refusal::not_run(reason).after(RETRY_AFTER),
         _ => Refusal::not_run(reason),
@@ -126,7 +131,7 @@
 }
 
 /// The answer of a refusal, which is counted.
-pub(super) fn answer(board: &Board, refusal: Refusal, left: Option<Millis>) -> Answer {
+pub(super) fn answer(board: &Exchanges, refusal: Refusal, left: Option<Millis>) -> CallerResponse {
     board.outbox.push(Event::Refused(refusal.reason));
-    Answer::refusal(&*board.dialect, &refusal, left)
+    CallerResponse::refusal(&*board.dialect, &refusal, left)
 }
--- a/crates/mustardpin-node/src/traffic/link.rs
+++ b/crates/mustardpin-node/src/traffic/link.rs
@@ -22,7 +22,7 @@
     store::Announcement,
 };
 
-use crate::traffic::{board::Board, sender::Sender};
+use crate::traffic::{exchanges::Exchanges, sender::Sender};
 
 pub(super) use self::{
     incoming::accept,
@@ -71,7 +71,7 @@
     }
 
     /// Keeps a connection to a peer from now on.
-    pub(super) fn keep(&self, board: &Arc<Board>, announcement: Announcement) {
+    pub(super) fn keep(&self, board: &Arc<Exchanges>, announcement: Announcement) {
         let node = announcement.node;
         let link = Arc::new(Outgoing::new(announcement));
         if let Some(old) = self.outgoing().insert(node, Arc::clone(&link)) {
@@ -108,6 +108,6 @@
 }
 
 /// Looks for whoever is at an address of the settings, until there is a peer.
-pub async fn seek(board: Arc<Board>, seed: SocketAddr) {
+pub async fn discover(board: Arc<Exchanges>, seed: SocketAddr) {
     find(&board, seed).await;
 }
--- a/crates/mustardpin-node/src/traffic/link/incoming.rs
+++ b/crates/mustardpin-node/src/traffic/link/incoming.rs
@@ -21,9 +21,9 @@
 use tokio::{net::TcpStream, time};
 
 use crate::traffic::{
-    board::Board,
     body::{self, Body, Piece, Writer},
-    exchange::{AnswerTo, Attempt, Exchange, Outbound, OutboundHead},
+    exchange::{Attempt, Exchange, Outbound, OutboundHead, ResponseRecipient},
+    exchanges::Exchanges,
     link::wire::{Error, Wire},
     sender::Sender,
 };
@@ -37,7 +37,7 @@
 type Bodies = HashMap<u32, Writer>;
 
 /// Serves a connection of a peer until it ends.
-pub(in crate::traffic) async fn accept(board: Arc<Board>, stream: TcpStream) {
+pub(in crate::traffic) async fn accept(board: Arc<Exchanges>, stream: TcpStream) {
     let Ok(mut wire) = Wire::new(stream) else { return };
     let greeted = time::timeout(GREETING_TIMEOUT, greet(&board, &mut wire)).await;
     let Ok(Ok(peer)) = greeted else { return };
@@ -57,7 +57,7 @@
 }
 
 /// Finds out who has connected, and says who is here.
-async fn greet(board: &Board, wire: &mut Wire) -> Result<Announcement, Error> {
+async fn greet(board: &Exchanges, wire: &mut Wire) -> Result<Announcement, Error> {
     let hello = wire.greeted().await?;
     let credentials = &board.links.credentials;
     if hello.credential() != credentials.fleet || hello.version != frame::VERSION {
@@ -74,7 +74,7 @@
 }
 
 async fn carry(
-    board: &Arc<Board>,
+    board: &Arc<Exchanges>,
     from: NodeId,
     wire: &mut Wire,
     sender: &Arc<Sender>,
@@ -90,7 +90,7 @@
 
 /// Takes a frame in.
 async fn receive(
-    board: &Arc<Board>,
+    board: &Arc<Exchanges>,
     from: NodeId,
     sender: &Arc<Sender>,
     bodies: &mut Bodies,
@@ -135,7 +135,7 @@
 }
 
 fn take_request(
-    board: &Arc<Board>,
+    board: &Arc<Exchanges>,
     from: NodeId,
     sender: &Arc<Sender>,
     bodies: &mut Bodies,
@@ -175,7 +175,7 @@
     };
     let exchange = Exchange {
         request: Arc::new(Outbound::new(outbound, body)),
-        answer_to: Some(AnswerTo::Peer { sender: Arc::clone(sender), stream }),
+        answer_to: Some(ResponseRecipient::Peer { sender: Arc::clone(sender), stream }),
         attempt: Attempt::None,
         held: None,
         expires: None,
--- a/crates/mustardpin-node/src/traffic/link/outgoing.rs
+++ b/crates/mustardpin-node/src/traffic/link/outgoing.rs
@@ -22,11 +22,11 @@
 use tokio::{net::TcpStream, sync::Notify, time};
 
 use crate::traffic::{
-    answer::Answer,
-    board::Board,
     body::{self, Body, Piece, Writer},
     exchange::{Outbound, Payload},
+    exchanges::Exchanges,
     link::wire::{Error, Wire},
+    response::CallerResponse,
     sender::Sender,
 };
 
@@ -201,7 +201,7 @@
 }
 
 /// Keeps the connection to a peer until it is given up.
-pub(super) async fn keep(board: Arc<Board>, link: Arc<Outgoing>) {
+pub(super) async fn keep(board: Arc<Exchanges>, link: Arc<Outgoing>) {
     let node = link.announcement.node;
     let mut pause = FIRST_PAUSE;
     while !link.is_given_up() {
@@ -243,7 +243,7 @@
 }
 
 /// Makes the connection. Returns the revision of the peer's configuration with it.
-async fn connect(board: &Board, link: &Outgoing) -> Result<(Wire, Revision), Error> {
+async fn connect(board: &Exchanges, link: &Outgoing) -> Result<(Wire, Revision), Error> {
     let stream = TcpStream::connect(link.announcement.address.as_str()).await?;
     let mut wire = Wire::new(stream)?;
     let credentials = &board.links.credentials;
@@ -262,7 +262,7 @@
 }
 
 /// Carries frames until the connection ends. Returns why it did.
-async fn carry(board: &Arc<Board>, link: &Outgoing, wire: &mut Wire, sender: &Sender) -> Error {
+async fn carry(board: &Arc<Exchanges>, link: &Outgoing, wire: &mut Wire, sender: &Sender) -> Error {
     let mut watch = Watch::new(board.clock.now());
     let mut period = time::interval(WATCH_PERIOD);
     period.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -308,7 +308,7 @@
     }
 
     /// Something has come.
-    fn heard(&mut self, board: &Board, link: &Outgoing) {
+    fn heard(&mut self, board: &Exchanges, link: &Outgoing) {
         self.heard = board.clock.now();
         self.asked = None;
         if self.is_silent {
@@ -318,7 +318,7 @@
         }
     }
 
-    fn look(&mut self, board: &Board, link: &Outgoing, sender: &Sender) -> Result<(), Error> {
+    fn look(&mut self, board: &Exchanges, link: &Outgoing, sender: &Sender) -> Result<(), Error> {
         let now = board.clock.now();
         let Some(asked) = self.asked else {
             let is_waiting = !link.streams().is_empty();
@@ -344,7 +344,7 @@
 
 /// Takes a frame in.
 async fn receive(
-    board: &Arc<Board>,
+    board: &Arc<Exchanges>,
     link: &Outgoing,
     sender: &Sender,
     head: Head,
@@ -386,7 +386,7 @@
 }
 
 fn answered(
-    board: &Arc<Board>,
+    board: &Arc<Exchanges>,
     link: &Outgoing,
     head: frame::Response,
     payload: Bytes,
@@ -404,19 +404,19 @@
             let (writer, rest) = body::from_peer(sender, head.stream, length);
             stream.answer = Some((writer, status));
             drop(streams);
-            board.pass_on(ticket, Answer { status, fields, body: Body::Stream(rest) });
+            board.pass_on(ticket, CallerResponse { status, fields, body: Body::Stream(rest) });
             return Ok(());
         }
     };
     streams.remove(&head.stream);
     drop(streams);
-    let answer = Answer { status, fields, body };
+    let answer = CallerResponse { status, fields, body };
     board.forward_ended(ticket, ForwardEnd::Answered { status }, head.retries, Some(answer));
     Ok(())
 }
 
 /// Passes a piece of an answer on. The peer sends no more than there is room for.
-async fn chunk(board: &Board, link: &Outgoing, name: u32, last: bool, bytes: Bytes) {
+async fn chunk(board: &Exchanges, link: &Outgoing, name: u32, last: bool, bytes: Bytes) {
     let writer = {
         let streams = link.streams();
         let stream = streams.get(&name);
@@ -437,7 +437,7 @@
 
 /// Ends all requests that the peer had as the connection ended. Those of which no byte was written
 /// were not sent.
-fn fail_streams(board: &Board, link: &Outgoing, written: u64) {
+fn fail_streams(board: &Exchanges, link: &Outgoing, written: u64) {
     let streams = std::mem::take(&mut *link.streams());
     for stream in streams.into_values() {
         let was_sent = stream.starts_at < written;
@@ -447,7 +447,7 @@
 }
 
 /// Asks whoever is at an address who it is, again and again, and tells the control thread.
-pub(in crate::traffic) async fn find(board: &Board, seed: SocketAddr) {
+pub(in crate::traffic) async fn find(board: &Exchanges, seed: SocketAddr) {
     loop {
         let asked = time::timeout(CONNECT_TIMEOUT, ask(board, seed)).await;
         if let Ok(Ok(announcement)) = asked {
@@ -457,7 +457,7 @@
     }
 }
 
-async fn ask(board: &Board, seed: SocketAddr) -> Result<Announcement, Error> {
+async fn ask(board: &Exchanges, seed: SocketAddr) -> Result<Announcement, Error> {
     let mut wire = Wire::new(TcpStream::connect(seed).await?)?;
     let credentials = &board.links.credentials;
     wire.greet(credentials.hello(None, Revision(board.load().revision))).await?;
--- a/crates/mustardpin-node/src/traffic/listener.rs
+++ b/crates/mustardpin-node/src/traffic/listener.rs
@@ -11,7 +11,7 @@
 };
 use tokio_util::task::TaskTracker;
 
-use crate::traffic::{ACCEPT_PAUSE, board::Board, caller, link};
+use crate::traffic::{ACCEPT_BACKOFF, caller, exchanges::Exchanges, link};
 
 /// How far the process has come on its way out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
@@ -27,7 +27,7 @@
 
 /// Who connects to a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
+pub enum ListenerKind {
     /// Callers.
     Callers,
     /// The node's own target, with its calls and its reports.
@@ -44,7 +44,12 @@
 ///
 /// Then the port is closed, and those who had connected by that time are still served: a connection
 /// left in the listener's queue would break with its request on the way.
-pub async fn serve(listener: TcpListener, door: Door, board: Arc<Board>, connections: TaskTracker) {
+pub async fn serve(
+    listener: TcpListener,
+    door: ListenerKind,
+    board: Arc<Exchanges>,
+    connections: TaskTracker,
+) {
     let mut stage = board.stage();
     let entrance = Entrance {
         door,
@@ -59,7 +64,7 @@
         };
         match accepted {
             Ok((stream, _)) => entrance.open(stream),
-            Err(_) => time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => time::sleep(ACCEPT_BACKOFF).await,
         }
     }
     while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
@@ -69,9 +74,9 @@
 
 /// What new connections of a listener have in common.
 struct Entrance {
-    door: Door,
+    door: ListenerKind,
     permits: Arc<Semaphore>,
-    board: Arc<Board>,
+    board: Arc<Exchanges>,
     connections: TaskTracker,
 }
 
@@ -80,7 +85,7 @@
     fn open(&self, stream: TcpStream) {
         let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else { return };
         let (board, door) = (Arc::clone(&self.board), self.door);
-        if door == Door::Peers {
+        if door == ListenerKind::Peers {
             // Links last as long as the process; a leaving node does not wait for them.
             tokio::spawn(async move {
                 link::accept(board, stream).await;
--- a/crates/mustardpin-node/src/traffic/sender.rs
+++ b/crates/mustardpin-node/src/traffic/sender.rs
@@ -15,8 +15,8 @@
 use tokio::sync::{Notify, Semaphore};
 
 use crate::traffic::{
-    answer::Answer,
     body::{self, Body, Piece, Stream},
+    response::CallerResponse,
 };
 
 /// A connection whose peer has not read so many bytes is given up.
@@ -79,12 +79,12 @@
     pub(super) fn answer(
         self: &Arc<Sender>,
         stream: u32,
-        answer: Answer,
+        answer: CallerResponse,
         retries: u32,
         load: LoadReport,
     ) {
         self.answered(stream);
-        let Answer { status, fields, body } = answer;
+        let CallerResponse { status, fields, body } = answer;
         let (whole, rest, kind) = match body {
             Body::Empty => (Bytes::new(), None, frame::Body::Empty),
             Body::Whole(bytes) => (bytes, None, frame::Body::Whole),
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -25,10 +25,10 @@
 };
 
 use crate::traffic::{
-    answer::Answer,
-    board::Board,
     body::{self, Body, Piece, Stream, Writer},
     exchange::{Outbound, Payload},
+    exchanges::Exchanges,
+    response::CallerResponse,
     target::{Place, connection::Connection},
 };
 
@@ -67,7 +67,7 @@
 /// How a run ended.
 struct Outcome {
     end: RunEnd,
-    answer: Option<Answer>,
+    answer: Option<CallerResponse>,
 }
 
 impl From<RunEnd> for Outcome {
@@ -78,7 +78,7 @@
 
 /// Runs a request, and tells the board how it ended. The run stops when `stop` does.
 pub(in crate::traffic) async fn run(
-    board: Arc<Board>,
+    board: Arc<Exchanges>,
     run: Run,
     request: Arc<Outbound>,
     mut stop: oneshot::Receiver<()>,
@@ -92,7 +92,7 @@
     board.run_ended(ticket, outcome.end, outcome.answer);
 }
 
-async fn attempt(board: &Arc<Board>, run: &Run, request: &Outbound) -> Outcome {
+async fn attempt(board: &Arc<Exchanges>, run: &Run, request: &Outbound) -> Outcome {
     let Some(place) = board.target.place() else { return RunEnd::NotSent.into() };
     let (whole, mut rest) = match request.payload() {
         Payload::Whole(bytes) => (bytes, None),
@@ -135,7 +135,13 @@
 }
 
 /// The request as it goes to the target; without its body if that is still coming.
-fn encode(board: &Board, run: &Run, request: &Outbound, place: &Place, body: Kind<'_>) -> Vec<u8> {
+fn encode(
+    board: &Exchanges,
+    run: &Run,
+    request: &Outbound,
+    place: &Place,
+    body: Kind<'_>,
+) -> Vec<u8> {
     let mut out = Vec::with_capacity(512 + request.fields.len());
     write::request_line(&mut out, &request.method, &request.target);
     out.extend_from_slice(&request.fields);
@@ -168,7 +174,7 @@
 
 /// A request on its way over one connection.
 struct Exchange<'a> {
-    board: &'a Arc<Board>,
+    board: &'a Arc<Exchanges>,
     run: &'a Run,
     request: &'a Outbound,
     connection: Connection,
@@ -182,7 +188,7 @@
 
 impl<'a> Exchange<'a> {
     fn new(
-        board: &'a Arc<Board>,
+        board: &'a Arc<Exchanges>,
         run: &'a Run,
         request: &'a Outbound,
         connection: Connection,
@@ -322,7 +328,7 @@
         let Head { status, fields, load } = head;
         let end = RunEnd::Answered { status, report: load };
         if framing == Framing::Empty {
-            let answer = Answer { status, fields, body: Body::Empty };
+            let answer = CallerResponse { status, fields, body: Body::Empty };
             return Ok(Outcome { end, answer: Some(answer) });
         }
         let mut decoder = Decoder::from(framing);
@@ -333,7 +339,7 @@
                 Piece::Data(bytes) => held.push(bytes),
                 Piece::End(trailers) => {
                     let body = Body::there(held.join(), trailers);
-                    let answer = Answer { status, fields, body };
+                    let answer = CallerResponse { status, fields, body };
                     return Ok(Outcome { end, answer: Some(answer) });
                 }
             }
@@ -343,7 +349,7 @@
             _ => None,
         };
         let (writer, rest) = body::channel(length);
-        let answer = Answer { status, fields, body: Body::Stream(rest) };
+        let answer = CallerResponse { status, fields, body: Body::Stream(rest) };
         self.board.pass_on(self.run.ticket, answer);
         self.pass_on(&writer, held, &mut decoder).await?;
         Ok(Outcome { end, answer: None })
--- a/crates/mustardpin-node/tests/testsuite/control.rs
+++ b/crates/mustardpin-node/tests/testsuite/control.rs
@@ -14,7 +14,7 @@
     control::{self, Borders, Handle},
     log::LogSink,
     store::Store,
-    traffic::{Order, Traffic},
+    traffic::{Traffic, TrafficCommand},
 };
 use mustardpin_world::{
     Identity, Millis, Options, World,
@@ -65,7 +65,7 @@
 }
 
 impl Traffic for Silence {
-    fn carry_out(&mut self, _: Vec<Order>) {}
+    fn execute(&mut self, _: Vec<TrafficCommand>) {}
 }
 
 /// A control thread of a node whose store never answers.
--- a/crates/mustardpin-node/tests/testsuite/fake/side.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/side.rs
@@ -15,7 +15,9 @@
     clock::Clock,
     control::{Handle, Input},
     launch::Limits,
-    traffic::{self, Board, Credentials, Dispatcher, Door, Order, Setup, Traffic as _},
+    traffic::{
+        self, Credentials, Dispatcher, Exchanges, ListenerKind, Setup, Traffic as _, TrafficCommand,
+    },
 };
 use mustardpin_wire::native::Native;
 use mustardpin_world::{
@@ -78,7 +80,7 @@
             service: "slots".into(),
             address: peers.1.to_string().into(),
         };
-        let board = Board::new(Setup {
+        let board = Exchanges::new(Setup {
             control,
             clock: Arc::clone(&clock) as _,
             limits,
@@ -91,9 +93,10 @@
         });
         let (dispatcher, dispatching) = Dispatcher::new(Arc::clone(&board));
         runtime.spawn(dispatching);
-        runtime.spawn(Arc::clone(&board).hand_over_events());
+        runtime.spawn(Arc::clone(&board).send_events());
         let address = callers.1;
-        for (listener, door) in [(callers.0, Door::Callers), (peers.0, Door::Peers)] {
+        for (listener, door) in [(callers.0, ListenerKind::Callers), (peers.0, ListenerKind::Peers)]
+        {
             let serving = traffic::serve(listener, door, Arc::clone(&board), TaskTracker::new());
             runtime.spawn(serving);
         }
@@ -107,7 +110,7 @@
             _runtime: runtime,
         };
         let place = TargetAddress { address: target.to_string().into(), instance: "".into() };
-        side.order(Order::Target(Some(place)));
+        side.order(TrafficCommand::Target(Some(place)));
         side
     }
 
@@ -117,13 +120,13 @@
     }
 
     /// Gives an order.
-    pub fn order(&self, order: Order) {
-        self.dispatcher.lock().expect("no panic holds the lock").carry_out(vec![order]);
+    pub fn order(&self, order: TrafficCommand) {
+        self.dispatcher.lock().expect("no panic holds the lock").execute(vec![order]);
     }
 
     /// Gives the final word on a request.
     pub fn finish(&self, ticket: Ticket, verdict: Verdict) {
-        self.order(Order::Finish { ticket, verdict, retries: 0 });
+        self.order(TrafficCommand::Finish { ticket, verdict, retries: 0 });
     }
 
     /// The next request that arrives.
--- a/crates/mustardpin-node/tests/testsuite/link.rs
+++ b/crates/mustardpin-node/tests/testsuite/link.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use mustardpin_node::{launch::Limits, traffic::Order};
+use mustardpin_node::{launch::Limits, traffic::TrafficCommand};
 use mustardpin_world::{
     Event, Millis,
     id::{NodeId, Revision},
@@ -50,11 +50,11 @@
 #[test]
 fn messages_come_in_the_order_they_were_sent() {
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
-    two.order(Order::Link(one.announcement.clone()));
+    two.order(TrafficCommand::Link(one.announcement.clone()));
     next(&two, is_link_up);
     assert_eq!(one.event(), Event::PeerSeen(two.announcement.clone()));
     for after in 0..200 {
-        two.order(Order::Send { to: NodeId(1), message: message(after) });
+        two.order(TrafficCommand::Send { to: NodeId(1), message: message(after) });
     }
     for after in 0..200 {
         let event = Event::Peer { from: NodeId(2), message: message(after) };
@@ -65,10 +65,10 @@
 #[test]
 fn a_node_tells_its_peers_what_its_target_has_to_do() {
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
-    two.order(Order::Link(one.announcement.clone()));
+    two.order(TrafficCommand::Link(one.announcement.clone()));
     next(&two, is_link_up);
     let load = Load { open: true, running: 3, limit: 8, ..Load::default() };
-    one.order(Order::Publish { load, urgent: true });
+    one.order(TrafficCommand::Publish { load, urgent: true });
     let told = next(&two, |event| matches!(event, Event::Load { load, .. } if load.running == 3));
     assert_eq!(told, Event::Load { from: NodeId(1), load });
 }
@@ -87,7 +87,7 @@
     ];
     for (name, credential, announcement) in cases {
         let two = node(2, credential);
-        two.order(Order::Link(announcement));
+        two.order(TrafficCommand::Link(announcement));
         let event = next(&two, |event| !is_link_up(event));
         report.push_str(&format!("{name}: {event:?}\n"));
     }
@@ -110,7 +110,7 @@
         service: "slots".into(),
         address: address.into(),
     };
-    two.order(Order::Link(announcement));
+    two.order(TrafficCommand::Link(announcement));
     let begin = Instant::now();
     let tickets: Vec<Ticket> = (0..WAITING)
         .map(|_| {
@@ -120,7 +120,7 @@
         })
         .collect();
     for &ticket in &tickets {
-        two.order(Order::Forward(forward(ticket)));
+        two.order(TrafficCommand::Forward(forward(ticket)));
     }
     let is_end = |event: &Event| matches!(event, Event::ForwardEnded { .. });
     for _ in 0..WAITING {
@@ -137,7 +137,7 @@
     const STEP: Millis = Millis(100);
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
     let relay = Relay::start(&one.announcement.address);
-    two.order(Order::Link(Announcement {
+    two.order(TrafficCommand::Link(Announcement {
         address: relay.address.to_string().into(),
         ..one.announcement.clone()
     }));
@@ -149,7 +149,7 @@
         assert!(now < Millis::from_secs(4), "{seen:?}");
         now = now + STEP;
         two.set_time(now);
-        two.order(Order::Send { to: NodeId(1), message: message(1) });
+        two.order(TrafficCommand::Send { to: NodeId(1), message: message(1) });
         thread::sleep(Duration::from_millis(STEP.0));
         while !two.is_quiet() {
             seen.push(two.event());
--- a/crates/mustardpin-node/tests/testsuite/run.rs
+++ b/crates/mustardpin-node/tests/testsuite/run.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use mustardpin_node::{launch::Limits, traffic::Order};
+use mustardpin_node::{launch::Limits, traffic::TrafficCommand};
 use mustardpin_world::{
     Event, Millis,
     refusal::{Reason, Refusal},
@@ -47,7 +47,7 @@
     let ticket = side.accept().ticket;
     // The process was frozen between the decision and the first byte.
     side.set_time(Millis(501));
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::NotSent));
     assert!(target.seen().is_empty());
     let refusal = Refusal::not_run(Reason::TargetFailed);
@@ -62,7 +62,7 @@
         side.set_time(Millis(now));
         let caller = book(&side);
         let ticket = side.accept().ticket;
-        side.order(Order::Run(run(ticket)));
+        side.order(TrafficCommand::Run(run(ticket)));
         let event = side.event();
         assert_eq!(target.seen().len(), runs, "at {now} ms: {event:?}");
         side.finish(ticket, Verdict::Refuse(Refusal::not_run(Reason::TargetFailed)));
@@ -75,7 +75,7 @@
     let (side, _target) = start(text(WHOLE), Limits::default());
     let caller = book(&side);
     let ticket = side.accept().ticket;
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     let answer = read_all(caller);
     insta::assert_snapshot!(format!("{}\n\n{}", answer.head(), answer.body()));
     assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED));
@@ -88,10 +88,10 @@
     let (side, _target) = start(text(failed), Limits::default());
     let caller = book(&side);
     let ticket = side.accept().ticket;
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     let end = RunEnd::Answered { status: 500, report: None };
     assert_eq!(side.event(), Event::RunEnded(ticket, end));
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, end));
     side.finish(ticket, Verdict::Pass);
     let answer = read_all(caller);
@@ -104,7 +104,7 @@
     let (side, _target) = start(steps, Limits::default());
     let caller = book(&side);
     let ticket = side.accept().ticket;
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     caller.shutdown(Shutdown::Both).expect("the connection is open");
     drop(caller);
     assert_eq!(side.event(), Event::CallerGone(ticket));
@@ -119,9 +119,9 @@
         let (side, target) = start(steps, Limits::default());
         let caller = book(&side);
         let ticket = side.accept().ticket;
-        side.order(Order::Run(run(ticket)));
+        side.order(TrafficCommand::Run(run(ticket)));
         wait_until(|| target.seen().len() == 1);
-        side.order(Order::Cancel(ticket));
+        side.order(TrafficCommand::Cancel(ticket));
         assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Cancelled));
         side.finish(ticket, refuse(Reason::CallerGone));
         wait_until(|| target.closed() == 1);
@@ -135,9 +135,9 @@
     let (side, target) = start(vec![Step::Wait(Duration::from_millis(600))], Limits::default());
     let caller = book(&side);
     let ticket = side.accept().ticket;
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     wait_until(|| target.seen().len() == 1);
-    side.order(Order::Cancel(ticket));
+    side.order(TrafficCommand::Cancel(ticket));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Cancelled));
     side.finish(ticket, refuse(Reason::DeadlineDuringRun));
     assert_eq!(read_all(caller).status(), 504);
@@ -152,7 +152,7 @@
     let (side, target) = start(steps, Limits::default());
     let caller = book(&side);
     let ticket = side.accept().ticket;
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Broken));
     assert_eq!(target.seen().len(), 1);
     side.finish(ticket, refuse(Reason::TargetFailed));
@@ -170,7 +170,7 @@
     let (side, target) = start(steps, Limits::default());
     let caller = book(&side);
     let ticket = side.accept().ticket;
-    side.order(Order::Run(run(ticket)));
+    side.order(TrafficCommand::Run(run(ticket)));
     let answer = read_all(caller);
     assert!(answer.text.starts_with("HTTP/1.1 200 OK") && answer.body().len() < 2 * size);
     let mut events = vec![side.event(), side.event()];
@@ -189,7 +189,7 @@
     for number in 1..=20 {
         let caller = book(&side);
         let ticket = side.accept().ticket;
-        side.order(Order::Run(run(ticket)));
+        side.order(TrafficCommand::Run(run(ticket)));
         assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED), "request {number}");
         assert_eq!(target.seen().len(), number);
         assert_eq!(read_all(caller).body(), "hello");
@@ -204,7 +204,7 @@
     let book_once = || {
         let caller = book(&side);
         let ticket = side.accept().ticket;
-        side.order(Order::Run(Run { repeatable: false, ..run(ticket) }));
+        side.order(TrafficCommand::Run(Run { repeatable: false, ..run(ticket) }));
         assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED));
         assert_eq!(read_all(caller).body(), "hello");
     };
