--- a/crates/mustardpin-node/src/traffic.rs
+++ b/crates/mustardpin-node/src/traffic.rs
@@ -1,10 +1,10 @@
-//! The traffic side: takes HTTP requests in, carries them to targets and peers, and whole answers
-//! back.
+//! The traffic side: accepts HTTP requests, sends them to the local target or to peers, and returns
+//! the responses.
 //!
-//! Requests in progress are rows of one table, `exchanges::Exchanges`. Tasks for connections put requests
-//! into it and tell the control thread; the control thread's orders are carried out in batches by
-//! `dispatch`; tasks for runs and for links to peers tell how attempts ended. An answer that needs
-//! no decision goes to its caller at once, and the control thread learns of it afterwards.
+//! Requests in progress are rows of one table, `exchanges::Exchanges`. Connection tasks insert
+//! requests and send an event to the control thread; `dispatch` executes the control thread's
+//! commands in batches; run tasks and peer link tasks report how attempts ended. A response that
+//! needs no decision goes to its caller at once, and the control thread is notified afterwards.
 
 mod body;
 mod caller;
@@ -38,59 +38,59 @@
     listener::{ListenerKind, Stage, serve},
 };
 
-/// The pause after a connection could not be accepted, mostly for want of file descriptors.
+/// The delay before accepting again after `accept` failed, mostly because file descriptors ran out.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What the control thread wants done.
+/// A command of the control thread to the traffic side.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TrafficCommand {
-    /// Send the request to the own target.
+    /// Send the request to the local target.
     Run(Run),
-    /// Pass the request to a peer.
+    /// Forward the request to a peer.
     Forward(Forward),
-    /// CallerResponse the caller. No further order about the request follows.
+    /// Send the final response to the caller. No further command about the request follows.
     Finish {
-        /// The request.
+        /// The request to finish.
         ticket: Ticket,
-        /// The final word.
+        /// Whether to return the target's response or a refusal.
         verdict: Verdict,
-        /// The retries that are left, for a peer that passed the request on.
+        /// The number of retries left, reported to the peer that forwarded the request.
         retries: u32,
     },
-    /// Stop the attempt in progress.
+    /// Stop the request's attempt in progress.
     Cancel(Ticket),
     /// Send a message to a peer.
     Send {
-        /// Who gets it.
+        /// The peer that receives the message.
         to: NodeId,
-        /// What it says.
+        /// The message to send.
         message: Message,
     },
-    /// Keep a connection to this peer.
+    /// Maintain a connection to this peer.
     Link(Announcement),
-    /// Keep no connection to this peer any more.
+    /// Close the connection to this peer and stop reconnecting.
     Unlink(NodeId),
-    /// The own target is here, or nowhere.
+    /// Set the address of the local target; `None` if there is no target.
     Target(Option<TargetAddress>),
-    /// Say this on every answer to a peer.
+    /// Set the load that is reported with every response to a peer.
     Publish {
-        /// What to say.
+        /// The load to report.
         load: Load,
-        /// Whether to tell peers at once.
+        /// Whether to send it to all connected peers immediately.
         urgent: bool,
     },
-    /// Callers may send this.
+    /// Set the limits that apply to callers' requests.
     Callers(Callers),
-    /// Say whether the node is ready for callers.
+    /// Set whether readiness checks succeed.
     Ready(bool),
-    /// Tell callers on idle connections to go elsewhere.
+    /// Begin draining: close callers' connections as they become idle.
     CloseIdle,
-    /// End the process once all connections have ended.
+    /// Exit the process once all connections have ended.
     Exit,
 }
 
-/// The traffic side as a whole, as the control thread sees it.
+/// The interface of the traffic side to the control thread.
 pub trait Traffic: Send {
-    /// Carries orders out, in their order, without waiting.
-    fn execute(&mut self, orders: Vec<TrafficCommand>);
+    /// Executes commands in order, without blocking.
+    fn execute(&mut self, commands: Vec<TrafficCommand>);
 }
--- a/crates/mustardpin-node/src/traffic/body.rs
+++ b/crates/mustardpin-node/src/traffic/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers: there as a whole, or still coming.
+//! Bodies of requests and responses, either complete or streamed.
 
 use std::sync::Arc;
 
@@ -7,70 +7,71 @@
 
 use crate::traffic::sender::Sender;
 
-/// Pieces of a body that may wait for a slow reader.
-pub(super) const MAX_WAITING: usize = 4;
+/// The maximum number of body pieces queued for a slow reader.
+pub(super) const MAX_QUEUED_PIECES: usize = 4;
 
-/// A piece of a body.
+/// A piece of a streamed body.
 #[derive(Debug)]
 pub(super) enum Piece {
     /// Bytes of the body.
     Data(Bytes),
-    /// The body is complete. These fields follow it, as lines.
+    /// The body is complete. Holds the trailers as encoded lines.
     End(Bytes),
 }
 
-/// The writing end of a body. Unless [`Piece::End`] was sent, dropping it breaks the body.
+/// The sending end of a streamed body. Dropping it before [`Piece::End`] was sent truncates the
+/// body.
 pub(super) type Writer = mpsc::Sender<Piece>;
 
-/// Where the pieces of a body come from.
+/// The source of a streamed body's remaining pieces.
 #[derive(Debug)]
 enum Source {
-    /// They are still coming.
-    Coming {
+    /// The remaining pieces are still being received.
+    Receiving {
         receiver: mpsc::Receiver<Piece>,
-        /// Where room for one more piece is announced once one has been taken.
+        /// The peer connection and stream id to which a credit is sent for each piece taken.
         credit: Option<(Arc<Sender>, u32)>,
     },
-    /// Only these trailers are left; `None` once they were taken.
-    There(Option<Bytes>),
+    /// Only the trailers remain; `None` once they were taken.
+    Trailers(Option<Bytes>),
 }
 
-/// A body in pieces.
+/// A body that is read piece by piece.
 #[derive(Debug)]
 pub(super) struct Stream {
-    /// How many bytes it has, if that was said.
+    /// The length in bytes, if it was declared.
     pub(super) length: Option<u64>,
     first: Option<Bytes>,
     source: Source,
 }
 
 impl Stream {
-    /// A body that is there, with the trailers that follow it.
+    /// A complete body followed by trailers.
     pub(super) fn with_trailers(body: Bytes, trailers: Bytes) -> Stream {
-        Stream { length: None, first: Some(body), source: Source::There(Some(trailers)) }
+        Stream { length: None, first: Some(body), source: Source::Trailers(Some(trailers)) }
     }
 
-    /// The same body after a first piece.
-    pub(super) fn after(self, first: Bytes) -> Stream {
+    /// Puts a first piece before the body.
+    pub(super) fn with_first(self, first: Bytes) -> Stream {
         Stream { first: Some(first), ..self }
     }
 
-    /// The first piece, if it is there already.
+    /// The first piece, or an empty slice if it has not been received.
     pub(super) fn first(&self) -> &[u8] {
         self.first.as_deref().unwrap_or_default()
     }
 
-    /// The next piece; `None` if the rest will not come.
+    /// Returns the next piece; `None` if the body is truncated.
     pub(super) async fn next(&mut self) -> Option<Piece> {
         if let Some(first) = self.first.take_if(|first| !first.is_empty()) {
             return Some(Piece::Data(first));
         }
         match &mut self.source {
-            Source::There(trailers) => trailers.take().map(Piece::End),
-            Source::Coming { receiver, credit } => {
+            Source::Trailers(trailers) => trailers.take().map(Piece::End),
+            Source::Receiving { receiver, credit } => {
                 let piece = receiver.recv().await;
                 if let (Some(Piece::Data(_)), Some((sender, stream))) = (&piece, credit) {
-                    sender.credit(*stream);
+                    sender.send_credit(*stream);
                 }
                 piece
             }
@@ -78,37 +79,37 @@
     }
 }
 
-/// The body of a request or an answer.
+/// The body of a request or a response.
 #[derive(Debug)]
 pub(super) enum Body {
-    /// There is none, and the message may not say how long it is.
+    /// No body, and no `content-length` is added to the message.
     Empty,
-    /// It is there as a whole.
-    Whole(Bytes),
-    /// It comes in pieces, and can be sent once.
+    /// The complete body.
+    Complete(Bytes),
+    /// A streamed body, which can be sent only once.
     Stream(Stream),
 }
 
 impl Body {
-    /// A body that is there, with the trailers that follow it, if there are any.
-    pub(super) fn there(body: Bytes, trailers: Bytes) -> Body {
+    /// A complete body, with trailers unless they are empty.
+    pub(super) fn complete(body: Bytes, trailers: Bytes) -> Body {
         match trailers.is_empty() {
-            true => Body::Whole(body),
+            true => Body::Complete(body),
             false => Body::Stream(Stream::with_trailers(body, trailers)),
         }
     }
 }
 
-/// A body of this length and the end by which it is filled.
+/// Creates a streamed body of this length in bytes, and its sending end.
 pub(super) fn channel(length: Option<u64>) -> (Writer, Stream) {
-    let (writer, receiver) = mpsc::channel(MAX_WAITING);
-    (writer, Stream { length, first: None, source: Source::Coming { receiver, credit: None } })
+    let (writer, receiver) = mpsc::channel(MAX_QUEUED_PIECES);
+    (writer, Stream { length, first: None, source: Source::Receiving { receiver, credit: None } })
 }
 
-/// The same for a body that comes from a peer, which is told when there is room for more.
+/// Like [`channel`], for a body received from a peer: the peer gets a credit for each piece taken.
 pub(super) fn from_peer(sender: Arc<Sender>, stream: u32, length: Option<u64>) -> (Writer, Stream) {
-    // One place more for the end, which needs no credit.
-    let (writer, receiver) = mpsc::channel(MAX_WAITING + 1);
-    let source = Source::Coming { receiver, credit: Some((sender, stream)) };
+    // One more slot for the end, which needs no credit.
+    let (writer, receiver) = mpsc::channel(MAX_QUEUED_PIECES + 1);
+    let source = Source::Receiving { receiver, credit: Some((sender, stream)) };
     (writer, Stream { length, first: None, source })
 }
--- a/crates/mustardpin-node/src/traffic/caller.rs
+++ b/crates/mustardpin-node/src/traffic/caller.rs
@@ -1,8 +1,8 @@
-//! A connection of a caller or of the own target: HTTP/1.1, with requests that may come before the
-//! answers to earlier ones.
+//! An HTTP/1.1 connection of a caller or of the local target, with pipelined requests.
 //!
-//! Requests go on the board as soon as they have come; answers go back in the order of requests.
-//! While answers are awaited the connection is read on, so that its end is noticed.
+//! Requests are inserted into `Exchanges` as soon as they are received; responses are sent in the
+//! order of their requests. The connection is read while responses are pending, so that a
+//! disconnect is noticed.
 
 mod reading;
 mod writing;
@@ -31,54 +31,55 @@
     response::CallerResponse,
 };
 
-/// How much is read at once, in bytes.
+/// The number of bytes reserved for each read.
 const READ_BYTES: usize = 4 * 1024;
-/// Requests of one connection that may be in progress at once. More are read once some have ended.
-const MAX_PIPELINED: usize = 64;
-/// A connection with so many bytes that have not become requests is read no further.
-const MAX_BUFFERED: usize = 1024 * 1024;
-/// How long a caller whose request was not read to its end may take to close its side.
-const CUT_SHORT_LINGER: Duration = Duration::from_millis(1_000);
-/// The first bytes of a connection that speaks HTTP/2.
+/// The maximum number of pipelined requests in progress on a connection. More are read once some
+/// have ended.
+const MAX_PIPELINED_REQUESTS: usize = 64;
+/// The maximum number of unparsed bytes; reading stops at this size.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
+/// How long to wait for a caller to close the connection after its request was not read in full.
+const UNREAD_REQUEST_LINGER: Duration = Duration::from_millis(1_000);
+/// The first bytes of an HTTP/2 connection.
 const HTTP2_PREFACE: &[u8] = b"PRI ";
 
-/// A request whose answer has not begun to go back.
-enum Turn {
-    /// It is on the board.
-    Open { ticket: Ticket, answer: oneshot::Receiver<CallerResponse>, terms: Terms },
-    /// Its answer is there.
-    Answered(CallerResponse, Terms),
+/// A request whose response has not begun to be sent.
+enum ResponseSlot {
+    /// The request is in progress.
+    Open { ticket: Ticket, response: oneshot::Receiver<CallerResponse>, options: ResponseOptions },
+    /// The response is ready.
+    Ready(CallerResponse, ResponseOptions),
 }
 
-/// How an answer goes back.
+/// How a response is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Terms {
-    /// Whether the connection is used for further requests.
+struct ResponseOptions {
+    /// Whether the connection stays open after the response.
     is_persistent: bool,
-    /// Whether the answer may come in chunks.
-    takes_chunks: bool,
+    /// Whether the caller accepts chunked transfer coding.
+    accepts_chunked: bool,
 }
 
-/// What all parts of a connection share.
+/// The state of a connection, shared by its reader and its writer.
 struct Connection {
-    board: Arc<Exchanges>,
-    door: ListenerKind,
+    exchanges: Arc<Exchanges>,
+    kind: ListenerKind,
     stage: watch::Receiver<Stage>,
-    turns: VecDeque<Turn>,
-    /// Whether the request that was read last is the last one.
+    slots: VecDeque<ResponseSlot>,
+    /// Whether the request that was read last closes the connection.
     is_last: bool,
-    /// Whether nothing more is read.
+    /// Whether no more requests are read.
     is_closing: bool,
-    /// Whether the caller may still be sending what nobody reads.
-    is_cut_short: bool,
-    /// When the last request was answered, or the connection made.
+    /// Whether the caller may still be sending a request that is not read.
+    has_unread_request: bool,
+    /// When the last response was started, or the connection was made.
     idle_since: Instant,
 }
 
 /// Serves a connection until it ends.
 pub(super) async fn serve(
-    board: Arc<Exchanges>,
-    door: ListenerKind,
+    exchanges: Arc<Exchanges>,
+    kind: ListenerKind,
     mut stream: TcpStream,
     stage: watch::Receiver<Stage>,
 ) {
@@ -86,49 +87,50 @@
         return;
     }
     let mut connection = Connection {
-        board,
-        door,
+        exchanges,
+        kind,
         stage,
-        turns: VecDeque::new(),
+        slots: VecDeque::new(),
         is_last: false,
         is_closing: false,
-        is_cut_short: false,
+        has_unread_request: false,
         idle_since: Instant::now(),
     };
     let mut buffer = BytesMut::new();
-    let preface = connection.carry(&mut stream, &mut buffer).await;
-    for turn in connection.turns {
-        if let Turn::Open { ticket, .. } = turn {
-            connection.board.caller_gone(ticket);
+    let protocol = connection.process(&mut stream, &mut buffer).await;
+    for slot in connection.slots {
+        if let ResponseSlot::Open { ticket, .. } = slot {
+            connection.exchanges.caller_gone(ticket);
         }
     }
-    if connection.is_cut_short && preface.is_ok() {
-        // Closing with something unread would take the answer away from the caller.
-        let _ = time::timeout(CUT_SHORT_LINGER, read_over(&mut stream)).await;
+    if connection.has_unread_request && protocol.is_ok() {
+        // Closing a socket with unread data resets the connection, and the caller could lose the
+        // response.
+        let _ = time::timeout(UNREAD_REQUEST_LINGER, discard_input(&mut stream)).await;
     }
-    if let Ok(Protocol::Http2) = preface {
-        let (board, stage) = (connection.board, connection.stage);
-        http2::serve(board, connection.door, stream, buffer, stage).await;
+    if let Ok(Protocol::Http2) = protocol {
+        let (exchanges, stage) = (connection.exchanges, connection.stage);
+        http2::serve(exchanges, connection.kind, stream, buffer, stage).await;
     }
 }
 
-/// Reads what still comes, until the caller has closed its side too.
-async fn read_over(stream: &mut TcpStream) -> io::Result<()> {
+/// Discards input until the caller has closed its side too.
+async fn discard_input(stream: &mut TcpStream) -> io::Result<()> {
     stream.shutdown().await?;
     let mut bytes = [0; READ_BYTES];
     while stream.read(&mut bytes).await? > 0 {}
     Ok(())
 }
 
-/// What a connection turned out to speak.
+/// The protocol that was detected on a connection.
 enum Protocol {
     Http1,
     Http2,
 }
 
 impl Connection {
-    /// Carries requests and answers until the connection is over.
-    async fn carry(
+    /// Processes requests and responses until the connection ends.
+    async fn process(
         &mut self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
@@ -138,18 +140,18 @@
         let mut writing = Writing::default();
         let mut is_first = true;
         loop {
-            if is_first && buffer.starts_with(HTTP2_PREFACE) && self.door == ListenerKind::Callers {
+            if is_first && buffer.starts_with(HTTP2_PREFACE) && self.kind == ListenerKind::Callers {
                 return Ok(Protocol::Http2);
             }
             is_first &= buffer.is_empty();
-            while !self.is_closing && self.turns.len() < MAX_PIPELINED {
+            while !self.is_closing && self.slots.len() < MAX_PIPELINED_REQUESTS {
                 let has_ended = reading.take(self, buffer, &mut writing);
                 self.is_closing |= has_ended && self.is_last;
                 if !has_ended {
                     break;
                 }
             }
-            self.start_answers(&mut writing);
+            self.start_ready_responses(&mut writing);
             if writing.write(&mut writer)? && self.is_over(&writing) {
                 return Ok(Protocol::Http1);
             }
@@ -157,63 +159,71 @@
         }
     }
 
-    /// Whether nothing is left to be done.
+    /// Whether the connection can be closed.
     fn is_over(&self, writing: &Writing) -> bool {
-        writing.is_broken() || (self.is_closing && self.turns.is_empty() && writing.is_idle())
+        writing.is_truncated() || (self.is_closing && self.slots.is_empty() && writing.is_idle())
     }
 
-    /// Moves answers that are there to the writer, as far as they are next.
-    fn start_answers(&mut self, writing: &mut Writing) {
+    /// Starts writing the responses that are ready, in the order of their requests.
+    fn start_ready_responses(&mut self, writing: &mut Writing) {
         while writing.is_idle() {
-            let turn = self.turns.front_mut();
-            let answer = match turn {
+            let slot = self.slots.front_mut();
+            let response = match slot {
                 None => return,
-                Some(Turn::Answered(..)) => None,
-                Some(Turn::Open { answer, .. }) => match answer.try_recv() {
-                    Ok(answer) => Some(answer),
+                Some(ResponseSlot::Ready(..)) => None,
+                Some(ResponseSlot::Open { response, .. }) => match response.try_recv() {
+                    Ok(response) => Some(response),
                     Err(oneshot::error::TryRecvError::Empty) => return,
-                    // The request has been dropped without a word; its caller must see that.
-                    Err(oneshot::error::TryRecvError::Closed) => return self.break_off(writing),
+                    // The request was dropped without a response. The connection is closed, so
+                    // that the caller notices.
+                    Err(oneshot::error::TryRecvError::Closed) => return self.truncate(writing),
                 },
             };
-            match (self.turns.pop_front(), answer) {
-                (Some(Turn::Answered(answer, terms)), _) => self.start(writing, answer, terms),
-                (Some(Turn::Open { terms, .. }), Some(answer)) => {
-                    self.start(writing, answer, terms);
+            match (self.slots.pop_front(), response) {
+                (Some(ResponseSlot::Ready(response, options)), _) => {
+                    self.start_response(writing, response, options)
+                }
+                (Some(ResponseSlot::Open { options, .. }), Some(response)) => {
+                    self.start_response(writing, response, options);
                 }
                 _ => return,
             }
         }
     }
 
-    fn start(&mut self, writing: &mut Writing, answer: CallerResponse, terms: Terms) {
+    fn start_response(
+        &mut self,
+        writing: &mut Writing,
+        response: CallerResponse,
+        options: ResponseOptions,
+    ) {
         let is_serving = *self.stage.borrow() == Stage::Serving;
-        let closes = !terms.is_persistent || !is_serving;
-        let closes = writing.start(answer, terms.takes_chunks, closes);
+        let closes = !options.is_persistent || !is_serving;
+        let closes = writing.start_response(response, options.accepts_chunked, closes);
         self.idle_since = Instant::now();
         if closes {
-            // Requests behind this one count as not read.
+            // Pipelined requests after this one are treated as not read.
             self.is_closing = true;
-            self.abandon();
+            self.cancel_pending();
         }
     }
 
-    /// Nobody waits any more for requests behind an answer that closes the connection.
-    fn abandon(&mut self) {
-        for turn in self.turns.drain(..) {
-            if let Turn::Open { ticket, .. } = turn {
-                self.board.caller_gone(ticket);
+    /// Cancels the requests behind a response that closes the connection.
+    fn cancel_pending(&mut self) {
+        for slot in self.slots.drain(..) {
+            if let ResponseSlot::Open { ticket, .. } = slot {
+                self.exchanges.caller_gone(ticket);
             }
         }
     }
 
-    fn break_off(&mut self, writing: &mut Writing) {
+    fn truncate(&mut self, writing: &mut Writing) {
         self.is_closing = true;
-        self.abandon();
-        writing.break_off();
+        self.cancel_pending();
+        writing.truncate();
     }
 
-    /// Waits until something can go on.
+    /// Waits until the connection can make progress.
     async fn wait(
         &mut self,
         reader: &mut ReadHalf<'_>,
@@ -222,64 +232,64 @@
         reading: &mut Reading,
         writing: &mut Writing,
     ) -> io::Result<()> {
-        let limit = pin!(time::sleep_until(self.limit(reading, writing)));
-        let reads = buffer.len() < MAX_BUFFERED;
-        if reads {
+        let deadline = pin!(time::sleep_until(self.deadline(reading, writing)));
+        let may_read = buffer.len() < MAX_BUFFERED_BYTES;
+        if may_read {
             buffer.reserve(READ_BYTES);
         }
         let is_leaving = *self.stage.borrow() != Stage::Serving;
-        let answer = match self.turns.front_mut() {
-            Some(Turn::Open { answer, .. }) if writing.is_idle() => Some(answer),
+        let response = match self.slots.front_mut() {
+            Some(ResponseSlot::Open { response, .. }) if writing.is_idle() => Some(response),
             _ => None,
         };
         select! {
-            read = reader.read_buf(buffer), if reads => {
+            read = reader.read_buf(buffer), if may_read => {
                 if read? == 0 {
-                    // Answers that nobody reads are of no use.
+                    // The caller has disconnected, so no response can be delivered.
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
-                reading.heard();
+                reading.record_received();
             }
-            answer = received(answer) => {
-                if let Some(Turn::Open { terms, .. }) = self.turns.pop_front() {
-                    match answer {
-                        Some(answer) => self.start(writing, answer, terms),
-                        None => self.break_off(writing),
+            response = receive_response(response) => {
+                if let Some(ResponseSlot::Open { options, .. }) = self.slots.pop_front() {
+                    match response {
+                        Some(response) => self.start_response(writing, response, options),
+                        None => self.truncate(writing),
                     }
                 }
             }
             ready = writer.writable(), if writing.is_blocked() => ready?,
             () = writing.advance(), if writing.awaits_piece() => {}
-            () = reading.advance(), if reading.awaits_room() => {}
+            () = reading.advance(), if reading.awaits_capacity() => {}
             _ = self.stage.changed(), if !is_leaving => {}
-            () = limit => self.time_out(reading),
+            () = deadline => self.time_out(reading),
         }
         Ok(())
     }
 
-    /// When the connection has taken too long for what it is at.
-    fn limit(&self, reading: &Reading, writing: &Writing) -> Instant {
-        let callers = self.board.callers();
-        let far = Instant::now() + Duration::from_secs(3_600);
+    /// When the connection's current timeout expires.
+    fn deadline(&self, reading: &Reading, writing: &Writing) -> Instant {
+        let callers = self.exchanges.callers();
+        let far_future = Instant::now() + Duration::from_secs(3_600);
         if let Some(since) = reading.since() {
-            let limit = match reading.is_in_body() {
-                true => self.board.limits.body_timeout,
+            let timeout = match reading.is_in_body() {
+                true => self.exchanges.limits.body_timeout,
                 false => duration(callers.header_timeout),
             };
-            return since + limit;
+            return since + timeout;
         }
-        if !self.turns.is_empty() || !writing.is_idle() {
-            return far;
+        if !self.slots.is_empty() || !writing.is_idle() {
+            return far_future;
         }
         let is_leaving = *self.stage.borrow() != Stage::Serving;
         let linger = match is_leaving {
-            true => self.board.limits.close_linger,
+            true => self.exchanges.limits.close_linger,
             false => duration(callers.idle_timeout),
         };
         self.idle_since + linger
     }
 
-    /// The connection has taken too long.
+    /// Handles an expired timeout of the connection.
     fn time_out(&mut self, reading: &mut Reading) {
         self.is_closing = true;
         if reading.since().is_some() {
@@ -287,20 +297,20 @@
         }
     }
 
-    /// The port that requests of this connection come in at.
+    /// The port that the dialect assigns to requests of this connection.
     fn port(&self) -> Port {
-        match self.door {
+        match self.kind {
             ListenerKind::Local => Port::Local,
             _ => Port::Callers,
         }
     }
 }
 
-async fn received(
-    answer: Option<&mut oneshot::Receiver<CallerResponse>>,
+async fn receive_response(
+    response: Option<&mut oneshot::Receiver<CallerResponse>>,
 ) -> Option<CallerResponse> {
-    match answer {
-        Some(answer) => answer.await.ok(),
+    match response {
+        Some(response) => response.await.ok(),
         None => std::future::pending().await,
     }
 }
--- a/crates/mustardpin-node/src/traffic/caller/reading.rs
+++ b/crates/mustardpin-node/src/traffic/caller/reading.rs
@@ -1,4 +1,4 @@
-//! The requests of a connection as they are read.
+//! Reads the requests of a connection.
 
 use bytes::{Bytes, BytesMut};
 use mustardpin_http::{
@@ -12,62 +12,63 @@
 
 use crate::traffic::{
     body::{self, Body, Piece, Writer},
-    caller::{Connection, Terms, Turn, writing::Writing},
+    caller::{Connection, ResponseOptions, ResponseSlot, writing::Writing},
     intake,
     listener::ListenerKind,
     response::CallerResponse,
 };
 
-/// A request whose body is being read.
-struct Incoming {
+/// A request whose body is being buffered.
+struct BufferedRequest {
     head: Request,
     decoder: Decoder,
-    kept: Vec<Bytes>,
-    size: usize,
-    /// How long the body is, if that was said.
+    pieces: Vec<Bytes>,
+    buffered_bytes: usize,
+    /// The length of the body in bytes, if it was declared.
     length: Option<u64>,
-    /// The fields that follow the body, as lines.
+    /// The trailers as encoded lines.
     trailers: Bytes,
-    /// How many bytes of the node's room for bodies it has.
-    room: usize,
-    /// How many bytes have come, also of a body that goes on as it comes.
-    read: u64,
+    /// The number of bytes reserved from the node's limit for buffered bodies.
+    reserved_bytes: usize,
+    /// The number of body bytes received. Also counts bytes that are streamed later.
+    received_bytes: u64,
 }
 
-/// A body that goes on as it comes.
-struct Feeding {
+/// A request whose body is streamed.
+struct StreamedRequest {
     head: Request,
     decoder: Decoder,
     trailers: Bytes,
     writer: Writer,
     pending: Option<Piece>,
-    read: u64,
+    received_bytes: u64,
 }
 
-/// How far the next request has come.
+/// How much of the next request has been received.
 #[derive(Default)]
 enum State {
-    /// Its head has not come in full.
+    /// Its head is incomplete.
     #[default]
     Head,
-    /// Its body is kept until it is whole.
-    Body(Box<Incoming>),
-    /// It is on the board, and its body goes on as it comes.
-    Feeding(Box<Feeding>),
+    /// Its body is buffered until it is complete.
+    Body(Box<BufferedRequest>),
+    /// It is in progress, and its body is streamed.
+    Streaming(Box<StreamedRequest>),
 }
 
-/// The requests of a connection as they are read.
+/// The reading side of a connection.
 #[derive(Default)]
 pub(super) struct Reading {
     state: State,
-    /// Since when the next request has been coming.
+    /// When the first bytes of an incomplete head were received.
     since: Option<Instant>,
-    /// When something last came.
-    heard: Option<Instant>,
+    /// When bytes were last received while a body is being read; `None` outside a body.
+    last_received: Option<Instant>,
 }
 
 impl Reading {
-    /// Takes what has been read. Returns whether that ended a request, so that the next may follow.
+    /// Parses the buffered bytes. Returns true if a request has ended, so that the next can be
+    /// parsed.
     pub(super) fn take(
         &mut self,
         connection: &mut Connection,
@@ -77,7 +78,7 @@
         match std::mem::take(&mut self.state) {
             State::Head => self.take_head(connection, buffer, writing),
             State::Body(incoming) => self.take_body(connection, buffer, *incoming),
-            State::Feeding(feeding) => self.feed(connection, buffer, *feeding),
+            State::Streaming(request) => self.stream_body(connection, buffer, *request),
         }
     }
 
@@ -87,7 +88,7 @@
         buffer: &mut BytesMut,
         writing: &mut Writing,
     ) -> bool {
-        let limit = connection.board.callers().header_size as usize;
+        let limit = connection.exchanges.callers().header_size as usize;
         let head = match Request::take(buffer, limit) {
             Ok(Some(head)) => head,
             Ok(None) => {
@@ -104,7 +105,7 @@
             Ok(framing) => framing,
             Err(error) => return refuse(connection, reason_of(error)),
         };
-        let limit = connection.board.callers().body_size;
+        let limit = connection.exchanges.callers().body_size;
         if matches!(framing, Framing::Length(length) if length > limit) {
             return refuse(connection, Reason::BodyTooLarge);
         }
@@ -114,62 +115,62 @@
         };
         let decoder = Decoder::from(framing);
         if decoder.is_complete() {
-            enter(connection, head, Body::Whole(Bytes::new()));
+            accept(connection, head, Body::Complete(Bytes::new()));
             return true;
         }
         if head.headers.has_token("expect", "100-continue") && buffer.is_empty() {
-            writing.invite();
+            writing.send_continue();
         }
-        let incoming = Incoming {
+        let incoming = BufferedRequest {
             head,
             decoder,
-            kept: Vec::new(),
-            size: 0,
+            pieces: Vec::new(),
+            buffered_bytes: 0,
             length,
             trailers: Bytes::new(),
-            room: 0,
-            read: 0,
+            reserved_bytes: 0,
+            received_bytes: 0,
         };
-        self.heard = Some(Instant::now());
+        self.last_received = Some(Instant::now());
         self.take_body(connection, buffer, incoming)
     }
 
-    /// Keeps the body until it is whole, or passes it on as it comes if it is too large to keep.
+    /// Buffers the body until it is complete, or streams it if it is too large to buffer.
     fn take_body(
         &mut self,
         connection: &mut Connection,
         buffer: &mut BytesMut,
-        mut incoming: Incoming,
+        mut incoming: BufferedRequest,
     ) -> bool {
-        let board = &connection.board;
+        let exchanges = &connection.exchanges;
         loop {
             match incoming.decoder.take(buffer) {
                 Ok(Decoded::Data(bytes)) => {
-                    incoming.read += bytes.len() as u64;
-                    if incoming.read > board.callers().body_size {
-                        board.release_bytes(incoming.room);
+                    incoming.received_bytes += bytes.len() as u64;
+                    if incoming.received_bytes > exchanges.callers().body_size {
+                        exchanges.release_bytes(incoming.reserved_bytes);
                         return refuse(connection, Reason::BodyTooLarge);
                     }
-                    if !board.keep_bytes(bytes.len()) {
-                        board.release_bytes(incoming.room);
+                    if !exchanges.reserve_bytes(bytes.len()) {
+                        exchanges.release_bytes(incoming.reserved_bytes);
                         return refuse(connection, Reason::InProgressLimit);
                     }
-                    incoming.room += bytes.len();
-                    incoming.size += bytes.len();
-                    incoming.kept.push(bytes);
-                    if incoming.size > board.limits.replay_size {
-                        return self.begin_feeding(connection, buffer, incoming);
+                    incoming.reserved_bytes += bytes.len();
+                    incoming.buffered_bytes += bytes.len();
+                    incoming.pieces.push(bytes);
+                    if incoming.buffered_bytes > exchanges.limits.replay_size {
+                        return self.begin_streaming(connection, buffer, incoming);
                     }
                 }
                 Ok(Decoded::Trailers(trailers)) => {
                     incoming.trailers =
-                        intake::trailers(board, connection.port(), &incoming.head, &trailers);
+                        intake::trailers(exchanges, connection.port(), &incoming.head, &trailers);
                 }
                 Ok(Decoded::End) => {
-                    board.release_bytes(incoming.room);
-                    self.heard = None;
-                    let body = Body::there(join(incoming.kept), incoming.trailers);
-                    enter(connection, incoming.head, body);
+                    exchanges.release_bytes(incoming.reserved_bytes);
+                    self.last_received = None;
+                    let body = Body::complete(join(incoming.pieces), incoming.trailers);
+                    accept(connection, incoming.head, body);
                     return true;
                 }
                 Ok(Decoded::Pending) => {
@@ -177,75 +178,76 @@
                     return false;
                 }
                 Err(error) => {
-                    board.release_bytes(incoming.room);
+                    exchanges.release_bytes(incoming.reserved_bytes);
                     return refuse(connection, reason_of(error));
                 }
             }
         }
     }
 
-    /// Puts a request on the board whose body is too large to be kept.
-    fn begin_feeding(
+    /// Inserts a request whose body is too large to buffer into `Exchanges`.
+    fn begin_streaming(
         &mut self,
         connection: &mut Connection,
         buffer: &mut BytesMut,
-        incoming: Incoming,
+        incoming: BufferedRequest,
     ) -> bool {
-        let (writer, rest) = body::channel(incoming.length);
-        connection.board.release_bytes(incoming.room);
-        let Incoming { head, decoder, kept, trailers, read, .. } = incoming;
-        enter(connection, head.clone(), Body::Stream(rest.after(join(kept))));
-        let feeding = Feeding { head, decoder, trailers, writer, pending: None, read };
-        self.feed(connection, buffer, feeding)
+        let (writer, streamed) = body::channel(incoming.length);
+        connection.exchanges.release_bytes(incoming.reserved_bytes);
+        let BufferedRequest { head, decoder, pieces, trailers, received_bytes, .. } = incoming;
+        accept(connection, head.clone(), Body::Stream(streamed.with_first(join(pieces))));
+        let request =
+            StreamedRequest { head, decoder, trailers, writer, pending: None, received_bytes };
+        self.stream_body(connection, buffer, request)
     }
 
-    /// Passes on what has come of a body, as far as there is room.
-    fn feed(
+    /// Streams the received part of a body, as far as its channel has capacity.
+    fn stream_body(
         &mut self,
         connection: &mut Connection,
         buffer: &mut BytesMut,
-        mut feeding: Feeding,
+        mut request: StreamedRequest,
     ) -> bool {
-        let limit = connection.board.callers().body_size;
+        let limit = connection.exchanges.callers().body_size;
         loop {
-            if let Some(piece) = feeding.pending.take() {
+            if let Some(piece) = request.pending.take() {
                 let is_end = matches!(piece, Piece::End(_));
-                match feeding.writer.try_send(piece) {
+                match request.writer.try_send(piece) {
                     Ok(()) if is_end => {
-                        self.heard = None;
+                        self.last_received = None;
                         return true;
                     }
                     Ok(()) => {}
                     Err(mpsc::error::TrySendError::Full(piece)) => {
-                        feeding.pending = Some(piece);
-                        self.state = State::Feeding(Box::new(feeding));
+                        request.pending = Some(piece);
+                        self.state = State::Streaming(Box::new(request));
                         return false;
                     }
-                    // The request is over; what is left of its body would be read for nothing.
+                    // The request has finished, so the rest of its body is not read.
                     Err(mpsc::error::TrySendError::Closed(_)) => {
                         connection.is_closing = true;
                         return false;
                     }
                 }
             }
-            match feeding.decoder.take(buffer) {
+            match request.decoder.take(buffer) {
                 Ok(Decoded::Data(bytes)) => {
-                    feeding.read += bytes.len() as u64;
-                    if feeding.read > limit {
-                        return break_off(connection, Reason::BodyTooLarge);
+                    request.received_bytes += bytes.len() as u64;
+                    if request.received_bytes > limit {
+                        return cancel_with(connection, Reason::BodyTooLarge);
                     }
-                    feeding.pending = Some(Piece::Data(bytes));
+                    request.pending = Some(Piece::Data(bytes));
                 }
                 Ok(Decoded::Trailers(trailers)) => {
-                    let board = &connection.board;
-                    feeding.trailers =
-                        intake::trailers(board, connection.port(), &feeding.head, &trailers);
+                    let exchanges = &connection.exchanges;
+                    request.trailers =
+                        intake::trailers(exchanges, connection.port(), &request.head, &trailers);
                 }
                 Ok(Decoded::End) => {
-                    feeding.pending = Some(Piece::End(std::mem::take(&mut feeding.trailers)));
+                    request.pending = Some(Piece::End(std::mem::take(&mut request.trailers)));
                 }
                 Ok(Decoded::Pending) => {
-                    self.state = State::Feeding(Box::new(feeding));
+                    self.state = State::Streaming(Box::new(request));
                     return false;
                 }
                 Err(_) => {
@@ -256,20 +258,20 @@
         }
     }
 
-    /// Something has come.
-    pub(super) fn heard(&mut self) {
-        if self.heard.is_some() {
-            self.heard = Some(Instant::now());
+    /// Records that bytes were received.
+    pub(super) fn record_received(&mut self) {
+        if self.last_received.is_some() {
+            self.last_received = Some(Instant::now());
         }
     }
 
-    /// Since when the connection has been awaited to go on with a request.
+    /// Since when the connection has been waiting for the caller to send more of a request.
     pub(super) fn since(&self) -> Option<Instant> {
         match self.state {
             State::Head => self.since,
-            State::Body(_) => self.heard,
-            State::Feeding(ref feeding) if feeding.pending.is_some() => None,
-            State::Feeding(_) => self.heard,
+            State::Body(_) => self.last_received,
+            State::Streaming(ref request) if request.pending.is_some() => None,
+            State::Streaming(_) => self.last_received,
         }
     }
 
@@ -278,20 +280,20 @@
         !matches!(self.state, State::Head)
     }
 
-    /// Whether a piece of a body waits for room.
-    pub(super) fn awaits_room(&self) -> bool {
-        matches!(&self.state, State::Feeding(feeding) if feeding.pending.is_some())
+    /// Whether a piece of a body waits for channel capacity.
+    pub(super) fn awaits_capacity(&self) -> bool {
+        matches!(&self.state, State::Streaming(request) if request.pending.is_some())
     }
 
-    /// Returns once there is room for a piece of a body.
+    /// Returns once there is capacity for a piece of a body.
     pub(super) async fn advance(&mut self) {
-        if let State::Feeding(feeding) = &self.state {
-            // Fails if the request is over, which the next look finds out.
-            let _ = feeding.writer.reserve().await;
+        if let State::Streaming(request) = &self.state {
+            // Fails if the request has finished, which the next call of `stream_body` detects.
+            let _ = request.writer.reserve().await;
         }
     }
 
-    /// A request has taken too long to come.
+    /// Handles a timeout while a request is being received.
     pub(super) fn time_out(&mut self, connection: &mut Connection) {
         match std::mem::take(&mut self.state) {
             State::Head => {
@@ -299,12 +301,12 @@
                 refuse(connection, Reason::BodyTimeout);
             }
             State::Body(incoming) => {
-                connection.board.release_bytes(incoming.room);
-                self.heard = None;
+                connection.exchanges.release_bytes(incoming.reserved_bytes);
+                self.last_received = None;
                 refuse(connection, Reason::BodyTimeout);
             }
-            // Dropping the writer breaks the request off.
-            State::Feeding(_) => self.heard = None,
+            // Dropping the writer truncates the body, which aborts the request.
+            State::Streaming(_) => self.last_received = None,
         }
     }
 }
@@ -316,53 +318,55 @@
     }
 }
 
-/// Answers with a refusal, after which nothing more is read.
+/// Sends a refusal. No more requests are read after it.
 fn refuse(connection: &mut Connection, reason: Reason) -> bool {
-    let answer = intake::refusal(&connection.board, reason, None);
-    refuse_with(connection, answer)
+    let response = intake::refuse(&connection.exchanges, reason, None);
+    refuse_with(connection, response)
 }
 
-fn refuse_with(connection: &mut Connection, answer: CallerResponse) -> bool {
-    let terms = Terms { is_persistent: false, takes_chunks: true };
+fn refuse_with(connection: &mut Connection, response: CallerResponse) -> bool {
+    let options = ResponseOptions { is_persistent: false, accepts_chunked: true };
     connection.is_closing = true;
-    connection.is_cut_short = true;
-    connection.turns.push_back(Turn::Answered(answer, terms));
+    connection.has_unread_request = true;
+    connection.slots.push_back(ResponseSlot::Ready(response, options));
     false
 }
 
-/// Answers the request whose body was being passed on with a refusal, and gives it up. A target may
-/// have seen a part of it.
-fn break_off(connection: &mut Connection, reason: Reason) -> bool {
-    if let Some(Turn::Open { ticket, .. }) = connection.turns.pop_back() {
-        connection.board.caller_gone(ticket);
+/// Cancels the request whose body is being streamed and sends a refusal. A target may have received
+/// a part of the request.
+fn cancel_with(connection: &mut Connection, reason: Reason) -> bool {
+    if let Some(ResponseSlot::Open { ticket, .. }) = connection.slots.pop_back() {
+        connection.exchanges.caller_gone(ticket);
     }
-    let answer = intake::answer(&connection.board, Refusal::unknown(reason), None);
-    refuse_with(connection, answer)
+    let response = intake::refusal_response(&connection.exchanges, Refusal::unknown(reason), None);
+    refuse_with(connection, response)
 }
 
-/// Takes a request in.
-fn enter(connection: &mut Connection, head: Request, body: Body) {
+/// Accepts a request that has been read.
+fn accept(connection: &mut Connection, head: Request, body: Body) {
     let is_persistent = head.is_persistent();
-    let terms = Terms { is_persistent, takes_chunks: head.is_version_11 };
+    let options = ResponseOptions { is_persistent, accepts_chunked: head.is_version_11 };
     connection.is_last |= !is_persistent;
-    let turn = match answer_here(connection, &head, &body) {
-        Some(answer) => Turn::Answered(answer, terms),
-        None => match intake::open(&connection.board, connection.port(), &head, body) {
-            Ok(opened) => Turn::Open { ticket: opened.ticket, answer: opened.answer, terms },
-            Err(answer) => Turn::Answered(*answer, terms),
+    let slot = match local_response(connection, &head, &body) {
+        Some(response) => ResponseSlot::Ready(response, options),
+        None => match intake::open(&connection.exchanges, connection.port(), &head, body) {
+            Ok(opened) => {
+                ResponseSlot::Open { ticket: opened.ticket, response: opened.response, options }
+            }
+            Err(response) => ResponseSlot::Ready(*response, options),
         },
     };
-    connection.turns.push_back(turn);
+    connection.slots.push_back(slot);
 }
 
-/// Answers requests that are for the node itself.
-fn answer_here(connection: &Connection, head: &Request, body: &Body) -> Option<CallerResponse> {
-    let board = &connection.board;
-    match connection.door {
+/// The response to a request for the node itself: a readiness check or a report.
+fn local_response(connection: &Connection, head: &Request, body: &Body) -> Option<CallerResponse> {
+    let exchanges = &connection.exchanges;
+    match connection.kind {
         ListenerKind::Callers | ListenerKind::Peers => None,
         ListenerKind::Readiness => {
-            let is_known = board.dialect.is_readiness_check(head);
-            let status = match (is_known, board.is_ready()) {
+            let is_known = exchanges.dialect.is_readiness_check(head);
+            let status = match (is_known, exchanges.is_ready()) {
                 (false, _) => 404,
                 (true, true) => 200,
                 (true, false) => 503,
@@ -371,18 +375,18 @@
         }
         ListenerKind::Local | ListenerKind::Reports => {
             let bytes = match body {
-                Body::Whole(bytes) => bytes.clone(),
+                Body::Complete(bytes) => bytes.clone(),
                 Body::Empty | Body::Stream(_) => Bytes::new(),
             };
-            let report = board.dialect.read_report(head, &bytes);
+            let report = exchanges.dialect.read_report(head, &bytes);
             match report {
                 Some(report) => {
                     if let Some(event) = report.event {
-                        board.outbox.push(event);
+                        exchanges.outbox.push(event);
                     }
                     Some(CallerResponse::plain(report.status, report.body))
                 }
-                None if connection.door == ListenerKind::Reports => {
+                None if connection.kind == ListenerKind::Reports => {
                     Some(CallerResponse::plain(404, Bytes::new()))
                 }
                 None => None,
--- a/crates/mustardpin-node/src/traffic/caller/writing.rs
+++ b/crates/mustardpin-node/src/traffic/caller/writing.rs
@@ -1,4 +1,4 @@
-//! The answers of a connection as they are written.
+//! Writes the responses of a connection.
 
 use std::io;
 
@@ -11,122 +11,123 @@
     response::CallerResponse,
 };
 
-/// A body that is still coming.
-struct Coming {
-    rest: Stream,
-    in_chunks: bool,
+/// A body that is still being received.
+struct StreamedBody {
+    pieces: Stream,
+    is_chunked: bool,
 }
 
-/// What is being written.
+/// The writing side of a connection.
 #[derive(Default)]
 pub(super) struct Writing {
     out: Vec<u8>,
     written: usize,
-    /// A large body that follows `out`, so that it need not be copied.
+    /// A large body that is written after `out`, in parts, so that it need not be copied as a
+    /// whole.
     body: Bytes,
-    coming: Option<Coming>,
+    streamed: Option<StreamedBody>,
     is_blocked: bool,
-    is_broken: bool,
+    is_truncated: bool,
 }
 
-/// Bodies up to this size are written together with their heads.
-const JOINED_BYTES: usize = 16 * 1024;
+/// The maximum size in bytes of a body that is written together with its head.
+const MAX_JOINED_BODY_BYTES: usize = 16 * 1024;
 
 impl Writing {
-    /// Begins an answer. Returns whether the connection closes after it.
-    pub(super) fn start(
+    /// Starts a response. Returns whether the connection closes after it.
+    pub(super) fn start_response(
         &mut self,
-        answer: CallerResponse,
-        takes_chunks: bool,
+        response: CallerResponse,
+        accepts_chunked: bool,
         closes: bool,
     ) -> bool {
-        let CallerResponse { status, fields, body } = answer;
-        let has_no_end =
-            matches!(&body, Body::Stream(rest) if rest.length.is_none()) && !takes_chunks;
-        let closes = closes || has_no_end;
+        let CallerResponse { status, header_lines, body } = response;
+        let ends_by_close =
+            matches!(&body, Body::Stream(pieces) if pieces.length.is_none()) && !accepts_chunked;
+        let closes = closes || ends_by_close;
         write::status_line(&mut self.out, status);
-        self.out.extend_from_slice(&fields);
+        self.out.extend_from_slice(&header_lines);
         if closes {
             write::field(&mut self.out, "connection", b"close");
         }
         match body {
             Body::Empty => self.out.extend_from_slice(b"\r\n"),
-            Body::Whole(bytes) => {
+            Body::Complete(bytes) => {
                 write::number(&mut self.out, "content-length", bytes.len() as u64);
                 self.out.extend_from_slice(b"\r\n");
-                if bytes.len() <= JOINED_BYTES {
+                if bytes.len() <= MAX_JOINED_BODY_BYTES {
                     self.out.extend_from_slice(&bytes);
                 } else {
                     self.body = bytes;
                 }
             }
-            Body::Stream(rest) => {
-                let in_chunks = rest.length.is_none() && takes_chunks;
-                if let Some(length) = rest.length {
+            Body::Stream(pieces) => {
+                let is_chunked = pieces.length.is_none() && accepts_chunked;
+                if let Some(length) = pieces.length {
                     write::number(&mut self.out, "content-length", length);
-                } else if in_chunks {
+                } else if is_chunked {
                     write::field(&mut self.out, "transfer-encoding", b"chunked");
                 }
                 self.out.extend_from_slice(b"\r\n");
-                self.coming = Some(Coming { rest, in_chunks });
+                self.streamed = Some(StreamedBody { pieces, is_chunked });
             }
         }
         closes
     }
 
-    /// Tells the caller that the body of its request may come.
-    pub(super) fn invite(&mut self) {
+    /// Sends `100 Continue`.
+    pub(super) fn send_continue(&mut self) {
         write::status_line(&mut self.out, 100);
         self.out.extend_from_slice(b"\r\n");
     }
 
-    /// Whether the answer that was begun has been handed over, so that the next can begin.
+    /// Whether the last response has been queued completely, so that the next can start.
     pub(super) fn is_idle(&self) -> bool {
-        self.coming.is_none() && self.body.is_empty()
+        self.streamed.is_none() && self.body.is_empty()
     }
 
-    /// Whether the connection takes nothing more at present.
+    /// Whether the socket's send buffer is full.
     pub(super) fn is_blocked(&self) -> bool {
         self.is_blocked
     }
 
-    /// Whether an answer was broken off, so that the connection has to end.
-    pub(super) fn is_broken(&self) -> bool {
-        self.is_broken
+    /// Whether a response was truncated, so that the connection must be closed.
+    pub(super) fn is_truncated(&self) -> bool {
+        self.is_truncated
     }
 
-    /// Whether the next piece of a body is due.
+    /// Whether the writer is ready for the next piece of a body.
     pub(super) fn awaits_piece(&self) -> bool {
-        self.coming.is_some() && !self.is_blocked
+        self.streamed.is_some() && !self.is_blocked
     }
 
-    /// Breaks the answer off, so that the caller sees that it is not whole.
-    pub(super) fn break_off(&mut self) {
-        self.coming = None;
-        self.is_broken = true;
+    /// Truncates the response. The connection is closed, so that the caller notices.
+    pub(super) fn truncate(&mut self) {
+        self.streamed = None;
+        self.is_truncated = true;
     }
 
-    /// Takes the next piece of a body in.
+    /// Queues the next piece of a streamed body.
     pub(super) async fn advance(&mut self) {
-        let Some(coming) = &mut self.coming else { return };
-        match coming.rest.next().await {
-            Some(Piece::Data(bytes)) if coming.in_chunks => {
+        let Some(streamed) = &mut self.streamed else { return };
+        match streamed.pieces.next().await {
+            Some(Piece::Data(bytes)) if streamed.is_chunked => {
                 write::chunk_size(&mut self.out, bytes.len());
                 self.out.extend_from_slice(&bytes);
                 self.out.extend_from_slice(b"\r\n");
             }
             Some(Piece::Data(bytes)) => self.out.extend_from_slice(&bytes),
             Some(Piece::End(trailers)) => {
-                if coming.in_chunks {
+                if streamed.is_chunked {
                     write::last_chunk(&mut self.out, &trailers);
                 }
-                self.coming = None;
+                self.streamed = None;
             }
-            None => self.break_off(),
+            None => self.truncate(),
         }
     }
 
-    /// Writes as much as the connection takes. Returns whether that was all there is.
+    /// Writes as much as the socket accepts. Returns whether everything was written.
     pub(super) fn write(&mut self, writer: &mut WriteHalf<'_>) -> io::Result<bool> {
         self.is_blocked = false;
         loop {
@@ -136,7 +137,7 @@
                 if self.body.is_empty() {
                     return Ok(true);
                 }
-                let count = self.body.len().min(4 * JOINED_BYTES);
+                let count = self.body.len().min(4 * MAX_JOINED_BODY_BYTES);
                 let part = self.body.split_to(count);
                 self.out.extend_from_slice(&part);
             }
--- a/crates/mustardpin-node/src/traffic/exchange.rs
+++ b/crates/mustardpin-node/src/traffic/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests in progress, as rows of the board.
+//! Requests in progress: the rows of `Exchanges`.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,119 +7,127 @@
 use mustardpin_world::{Millis, refusal::Refusal, request::Fingerprint};
 use tokio::sync::oneshot;
 
-use crate::traffic::{body::Body, link::Outgoing, response::CallerResponse, sender::Sender};
+use crate::traffic::{body::Body, link::OutgoingLink, response::CallerResponse, sender::Sender};
 
 slotmap::new_key_type! {
-    /// Names a row of the table of exchanges.
+    /// The key of a row in `Exchanges`.
     pub(super) struct ExchangeKey;
 }
 
-/// A request as it goes on: without keys, and without what belongs to the connection it came over.
+/// A request to be sent on, without tenant keys and connection-specific headers.
 #[derive(Debug)]
 pub(super) struct Outbound {
-    /// Its id, as in logs.
+    /// The request id, as in log entries.
     pub(super) id: CompactString,
     /// The HTTP method.
     pub(super) method: CompactString,
-    /// Path and query.
+    /// The request target: path and query.
     pub(super) target: CompactString,
-    /// The fields, as lines. The fields that the node where the request began adds are among them
-    /// if a peer passed the request on.
-    pub(super) fields: Bytes,
+    /// The headers as encoded lines. If a peer forwarded the request, they include the entry
+    /// headers, which are added by the node that received the request from its caller.
+    pub(super) header_lines: Bytes,
     /// The digest of the request.
     pub(super) fingerprint: Fingerprint,
-    /// Whether a peer passed the request on.
+    /// Whether a peer forwarded the request.
     pub(super) is_from_peer: bool,
     body: Mutex<Body>,
 }
 
-/// The body of a request for one attempt.
+/// The request body for one attempt.
 pub(super) enum Payload {
-    /// The whole body, which may be sent again.
-    Whole(Bytes),
-    /// A body that can be sent once.
+    /// The complete body, which can be sent again.
+    Complete(Bytes),
+    /// A body that can be sent only once.
     Stream(crate::traffic::body::Stream),
-    /// The body was sent before, and is not there any more.
-    Gone,
+    /// The body was a stream that an earlier attempt has consumed.
+    Consumed,
 }
 
-/// What goes on of a request beside its body.
+/// The parts of an outbound request other than its body.
 pub(super) struct OutboundHead {
     pub(super) id: CompactString,
     pub(super) method: CompactString,
     pub(super) target: CompactString,
-    pub(super) fields: Bytes,
+    pub(super) header_lines: Bytes,
     pub(super) fingerprint: Fingerprint,
     pub(super) is_from_peer: bool,
 }
 
 impl Outbound {
     pub(super) fn new(head: OutboundHead, body: Body) -> Outbound {
-        let OutboundHead { id, method, target, fields, fingerprint, is_from_peer } = head;
-        Outbound { id, method, target, fields, fingerprint, is_from_peer, body: Mutex::new(body) }
+        let OutboundHead { id, method, target, header_lines, fingerprint, is_from_peer } = head;
+        Outbound {
+            id,
+            method,
+            target,
+            header_lines,
+            fingerprint,
+            is_from_peer,
+            body: Mutex::new(body),
+        }
     }
 
-    /// The body for an attempt.
+    /// Returns the body for an attempt. A streamed body is returned only once.
     pub(super) fn payload(&self) -> Payload {
         let mut body = self.body.lock().unwrap_or_else(PoisonError::into_inner);
         match &*body {
-            Body::Whole(bytes) => return Payload::Whole(bytes.clone()),
-            Body::Empty => return Payload::Gone,
+            Body::Complete(bytes) => return Payload::Complete(bytes.clone()),
+            Body::Empty => return Payload::Consumed,
             Body::Stream(_) => {}
         }
         match std::mem::replace(&mut *body, Body::Empty) {
             Body::Stream(stream) => Payload::Stream(stream),
-            _ => Payload::Gone,
+            _ => Payload::Consumed,
         }
     }
 }
 
-/// Who waits for the answer.
+/// Where the response to a request is sent.
 pub(super) enum ResponseRecipient {
-    /// A caller's connection.
+    /// The connection task of a caller.
     Caller(oneshot::Sender<CallerResponse>),
-    /// A peer that passed the request on.
+    /// A peer that forwarded the request.
     Peer {
-        /// The connection that it came over.
+        /// The connection over which the request arrived.
         sender: Arc<Sender>,
-        /// Its name on that connection.
+        /// The request's stream id on that connection.
         stream: u32,
     },
 }
 
-/// The attempt in progress.
+/// The attempt in progress on a request.
 pub(super) enum Attempt {
-    /// There is none.
+    /// No attempt is in progress.
     None,
-    /// A run on the own target. Dropping the sender stops it.
-    Running(#[allow(dead_code, reason = "its end is what counts")] oneshot::Sender<()>),
-    /// A peer has the request.
+    /// A run on the local target. Dropping the sender stops it.
+    Running(#[allow(dead_code, reason = "dropped to stop the run")] oneshot::Sender<()>),
+    /// The request was forwarded to a peer.
     Forwarded {
         /// The connection to the peer.
-        link: Arc<Outgoing>,
-        /// Its name on that connection.
+        link: Arc<OutgoingLink>,
+        /// The request's stream id on that connection.
         stream: u32,
     },
 }
 
 /// A request in progress.
 pub(super) struct Exchange {
-    /// The request.
+    /// The request as sent to the target or a peer.
     pub(super) request: Arc<Outbound>,
-    /// Who waits for the answer; `None` once it has begun.
-    pub(super) answer_to: Option<ResponseRecipient>,
+    /// Where the response is sent; `None` once sending has begun.
+    pub(super) recipient: Option<ResponseRecipient>,
     /// The attempt in progress.
     pub(super) attempt: Attempt,
-    /// A whole answer that waits for the control thread's word.
-    pub(super) held: Option<CallerResponse>,
-    /// Until when the caller waits, if it has said so.
+    /// A complete response that waits for the control thread's decision.
+    pub(super) undecided: Option<CallerResponse>,
+    /// When the caller's timeout ends, if the caller specified one.
     pub(super) expires: Option<Millis>,
 }
 
-/// The final word on a request, for whoever waits for it.
+/// The final response to a request.
 pub(super) enum FinalResponse {
-    /// A target's answer.
+    /// A response from a target.
     Response(CallerResponse),
-    /// The system's own.
+    /// A refusal generated by a node.
     Refusal(Refusal),
 }
--- a/crates/mustardpin-node/src/traffic/exchanges.rs
+++ b/crates/mustardpin-node/src/traffic/exchanges.rs
@@ -1,4 +1,4 @@
-//! The table of requests in progress, and what all connections share.
+//! The table of requests in progress, and the state shared by all connections.
 
 use std::{
     sync::{
@@ -33,27 +33,27 @@
     },
 };
 
-/// The time between two lag probes. Many pass before a caller gives up, and few of them cost
-/// anything.
+/// The interval between two lag probes. Many fit into a caller's timeout, and at this rate their
+/// cost is negligible.
 const LAG_PROBE_INTERVAL: Millis = Millis(100);
 
-/// What the traffic side is told when it starts.
+/// The parameters of the traffic side.
 pub struct Setup {
-    /// The way to the control thread.
+    /// The handle that sends events to the control thread.
     pub control: Handle,
-    /// The time.
+    /// The clock for deadlines and timeouts.
     pub clock: Arc<dyn Clock>,
-    /// What the process may use.
+    /// The resource limits of the process.
     pub limits: Limits,
-    /// What callers and targets say.
+    /// The dialect that callers and targets use.
     pub dialect: Arc<dyn Dialect>,
-    /// The service of the own target.
+    /// The service name of the local target.
     pub service: CompactString,
-    /// Who this node is, towards other nodes.
+    /// The identity that this node presents to peers.
     pub credentials: Credentials,
 }
 
-/// The table of requests in progress, and what all connections share.
+/// The table of requests in progress, and the state shared by all connections.
 pub struct Exchanges {
     pub(super) outbox: Outbox,
     pub(super) clock: Arc<dyn Clock>,
@@ -62,27 +62,27 @@
     pub(super) service: CompactString,
     pub(super) target: Target,
     pub(super) links: Links,
-    exchanges: Mutex<SlotMap<ExchangeKey, Exchange>>,
+    table: Mutex<SlotMap<ExchangeKey, Exchange>>,
     callers: Mutex<Callers>,
     load: Mutex<Load>,
     ready: AtomicBool,
-    kept_bytes: AtomicUsize,
+    buffered_bytes: AtomicUsize,
     stage: watch::Sender<Stage>,
 }
 
 impl Exchanges {
-    /// The state of a node that has not taken any request in.
+    /// Creates an empty table.
     pub fn new(setup: Setup) -> Arc<Exchanges> {
         let Setup { control, clock, limits, dialect, service, credentials } = setup;
         Arc::new(Exchanges {
             outbox: Outbox::new(control),
             target: Target::new(),
             links: Links::new(credentials),
-            exchanges: Mutex::default(),
+            table: Mutex::default(),
             callers: Mutex::new(limits.callers()),
             load: Mutex::default(),
             ready: AtomicBool::new(false),
-            kept_bytes: AtomicUsize::new(0),
+            buffered_bytes: AtomicUsize::new(0),
             stage: watch::Sender::new(Stage::Serving),
             clock,
             limits,
@@ -91,18 +91,18 @@
         })
     }
 
-    /// Tells of each change of stage.
+    /// Subscribes to changes of the shutdown stage.
     pub fn stage(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// Hands events to the control thread until the runtime ends.
+    /// Sends events to the control thread until the runtime ends.
     pub async fn send_events(self: Arc<Exchanges>) {
-        self.outbox.hand_over().await;
+        self.outbox.send_batches().await;
     }
 
-    /// Sends lag probes until the runtime ends, by which the control thread sees how far the node
-    /// is behind.
+    /// Sends lag probes until the runtime ends. The control thread derives the node's lag from how
+    /// late they are processed.
     pub async fn send_lag_probes(self: Arc<Exchanges>) {
         loop {
             let due = self.clock.now() + LAG_PROBE_INTERVAL;
@@ -145,119 +145,127 @@
         *self.load.lock().unwrap_or_else(PoisonError::into_inner) = load;
     }
 
-    /// Takes room for the bytes of a request's body that is kept. Returns whether there was any.
-    pub(super) fn keep_bytes(&self, count: usize) -> bool {
-        let before = self.kept_bytes.fetch_add(count, Ordering::Relaxed);
-        let has_room = before + count <= self.limits.kept_size;
-        if !has_room {
-            self.kept_bytes.fetch_sub(count, Ordering::Relaxed);
+    /// Reserves memory for buffered bytes of a request body. Returns false if the limit is reached.
+    pub(super) fn reserve_bytes(&self, count: usize) -> bool {
+        let previous = self.buffered_bytes.fetch_add(count, Ordering::Relaxed);
+        let is_within_limit = previous + count <= self.limits.kept_size;
+        if !is_within_limit {
+            self.buffered_bytes.fetch_sub(count, Ordering::Relaxed);
         }
-        has_room
+        is_within_limit
     }
 
-    /// Gives room for kept bytes back.
+    /// Releases bytes that `reserve_bytes` reserved.
     pub(super) fn release_bytes(&self, count: usize) {
-        self.kept_bytes.fetch_sub(count, Ordering::Relaxed);
+        self.buffered_bytes.fetch_sub(count, Ordering::Relaxed);
     }
 
-    /// Puts a request on the board and tells the control thread. Returns `None` if there are too
-    /// many.
+    /// Inserts a request and notifies the control thread. Returns `None` if the limit of requests
+    /// in progress is reached.
     pub(super) fn open(
         &self,
         exchange: Exchange,
         request: impl FnOnce(Ticket) -> Request,
     ) -> Option<Ticket> {
-        let mut exchanges = self.exchanges();
-        if exchanges.len() >= self.limits.requests {
+        let mut table = self.table();
+        if table.len() >= self.limits.requests {
             return None;
         }
-        let ticket = ticket_of(exchanges.insert(exchange));
-        drop(exchanges);
+        let ticket = ticket_of(table.insert(exchange));
+        drop(table);
         self.outbox.push(Event::Arrived(request(ticket)));
         Some(ticket)
     }
 
-    /// The caller of a request has gone.
+    /// Reports that the caller of a request has disconnected.
     pub(super) fn caller_gone(&self, ticket: Ticket) {
         self.outbox.push(Event::CallerGone(ticket));
     }
 
-    /// Begins an attempt on a request. Returns the request, unless it is over.
-    pub(super) fn begin(&self, ticket: Ticket, attempt: Attempt) -> Option<Arc<Outbound>> {
-        let mut exchanges = self.exchanges();
-        let exchange = exchanges.get_mut(key_of(ticket))?;
+    /// Begins an attempt on a request. Returns `None` if the request has already finished.
+    pub(super) fn begin_attempt(&self, ticket: Ticket, attempt: Attempt) -> Option<Arc<Outbound>> {
+        let mut table = self.table();
+        let exchange = table.get_mut(key_of(ticket))?;
         exchange.attempt = attempt;
-        exchange.held = None;
+        exchange.undecided = None;
         Some(Arc::clone(&exchange.request))
     }
 
-    /// A run on the own target has ended, with a whole answer or without.
-    pub(super) fn run_ended(&self, ticket: Ticket, end: RunEnd, answer: Option<CallerResponse>) {
-        let is_whole = matches!(end, RunEnd::Answered { .. });
-        self.settle(ticket, answer, is_whole);
+    /// Ends a run on the local target. `response` is the complete response, if there is one.
+    pub(super) fn run_ended(&self, ticket: Ticket, end: RunEnd, response: Option<CallerResponse>) {
+        let is_complete_response = matches!(end, RunEnd::Answered { .. });
+        self.finish_attempt(ticket, response, is_complete_response);
         self.outbox.push(Event::RunEnded(ticket, end));
     }
 
-    /// A peer has ended a request that was passed to it.
+    /// Ends a request that was forwarded to a peer. `response` is the complete response, if there
+    /// is one.
     pub(super) fn forward_ended(
         &self,
         ticket: Ticket,
         end: ForwardEnd,
         retries: u32,
-        answer: Option<CallerResponse>,
+        response: Option<CallerResponse>,
     ) {
-        let is_whole = matches!(end, ForwardEnd::Answered { .. });
-        self.settle(ticket, answer, is_whole);
+        let is_complete_response = matches!(end, ForwardEnd::Answered { .. });
+        self.finish_attempt(ticket, response, is_complete_response);
         self.outbox.push(Event::ForwardEnded { ticket, end, retries });
     }
 
-    /// An answer that is still coming begins to go to whoever waits for it.
-    pub(super) fn pass_on(&self, ticket: Ticket, answer: CallerResponse) {
-        let answer_to = {
-            let mut exchanges = self.exchanges();
-            exchanges.get_mut(key_of(ticket)).and_then(|exchange| exchange.answer_to.take())
+    /// Starts sending a response whose body is still being received.
+    pub(super) fn stream_response(&self, ticket: Ticket, response: CallerResponse) {
+        let recipient = {
+            let mut table = self.table();
+            table.get_mut(key_of(ticket)).and_then(|exchange| exchange.recipient.take())
         };
-        if let Some(answer_to) = answer_to {
-            self.tell(answer_to, FinalResponse::Response(answer), 0, None);
+        if let Some(recipient) = recipient {
+            self.send_response(recipient, FinalResponse::Response(response), 0, None);
         }
     }
 
-    /// Passes a whole answer on that needs no decision, or keeps it until there is one.
-    fn settle(&self, ticket: Ticket, answer: Option<CallerResponse>, is_whole: bool) {
-        let mut exchanges = self.exchanges();
+    /// Sends a complete response that needs no decision to its recipient, or keeps it until the
+    /// control thread has decided.
+    fn finish_attempt(
+        &self,
+        ticket: Ticket,
+        response: Option<CallerResponse>,
+        is_complete_response: bool,
+    ) {
+        let mut table = self.table();
         let key = key_of(ticket);
-        let Some(exchange) = exchanges.get_mut(key) else { return };
+        let Some(exchange) = table.get_mut(key) else { return };
         exchange.attempt = Attempt::None;
-        let Some(answer) = answer else {
-            let has_begun = exchange.answer_to.is_none();
-            drop(exchanges);
-            if has_begun && !is_whole {
-                // Whoever waited has seen the answer break off, so nothing is to be tried again.
+        let Some(response) = response else {
+            let has_begun = exchange.recipient.is_none();
+            drop(table);
+            if has_begun && !is_complete_response {
+                // The recipient has received a truncated response, so the request must not be
+                // retried.
                 self.outbox.push(Event::CallerGone(ticket));
             }
             return;
         };
-        // The node that took the request from its caller decides on it.
-        if !is_final_status(answer.status) && !exchange.request.is_from_peer {
-            exchange.held = Some(answer);
+        // Whether to retry is decided by the node that received the request from its caller.
+        if !is_final_status(response.status) && !exchange.request.is_from_peer {
+            exchange.undecided = Some(response);
             return;
         }
-        let Some(exchange) = exchanges.remove(key) else { return };
-        drop(exchanges);
-        if let Some(answer_to) = exchange.answer_to {
-            self.tell(answer_to, FinalResponse::Response(answer), 0, exchange.expires);
+        let Some(exchange) = table.remove(key) else { return };
+        drop(table);
+        if let Some(recipient) = exchange.recipient {
+            self.send_response(recipient, FinalResponse::Response(response), 0, exchange.expires);
         }
     }
 
-    /// Stops the attempt in progress on a request, and tells the control thread of its end.
+    /// Stops a request's attempt in progress and reports its end to the control thread.
     pub(super) fn cancel(&self, ticket: Ticket) {
         let attempt = {
-            let mut exchanges = self.exchanges();
-            let Some(exchange) = exchanges.get_mut(key_of(ticket)) else { return };
+            let mut table = self.table();
+            let Some(exchange) = table.get_mut(key_of(ticket)) else { return };
             std::mem::replace(&mut exchange.attempt, Attempt::None)
         };
         match attempt {
-            // Its end follows, or has been told.
+            // The attempt's end is still to be reported, or has been reported.
             Attempt::None => {}
             Attempt::Running(stop) => drop(stop),
             Attempt::Forwarded { link, stream } => {
@@ -269,39 +277,39 @@
         }
     }
 
-    /// Answers whoever waits for a request, for good.
+    /// Sends the final response to a request and removes the request.
     pub(super) fn finish(&self, ticket: Ticket, refusal: Option<Refusal>, retries: u32) {
-        let Some(exchange) = self.exchanges().remove(key_of(ticket)) else { return };
-        let Some(answer_to) = exchange.answer_to else { return };
-        let word = match (refusal, exchange.held) {
+        let Some(exchange) = self.table().remove(key_of(ticket)) else { return };
+        let Some(recipient) = exchange.recipient else { return };
+        let final_response = match (refusal, exchange.undecided) {
             (Some(refusal), _) => FinalResponse::Refusal(refusal),
-            (None, Some(answer)) => FinalResponse::Response(answer),
+            (None, Some(response)) => FinalResponse::Response(response),
             (None, None) => return,
         };
-        self.tell(answer_to, word, retries, exchange.expires);
+        self.send_response(recipient, final_response, retries, exchange.expires);
     }
 
-    fn tell(
+    fn send_response(
         &self,
-        answer_to: ResponseRecipient,
-        word: FinalResponse,
+        recipient: ResponseRecipient,
+        final_response: FinalResponse,
         retries: u32,
         expires: Option<Millis>,
     ) {
-        match (answer_to, word) {
-            (ResponseRecipient::Caller(caller), word) => {
-                let answer = match word {
-                    FinalResponse::Response(answer) => answer,
+        match (recipient, final_response) {
+            (ResponseRecipient::Caller(caller), final_response) => {
+                let response = match final_response {
+                    FinalResponse::Response(response) => response,
                     FinalResponse::Refusal(refusal) => {
                         let left = expires.map(|expires| expires - self.clock.now());
                         CallerResponse::refusal(&*self.dialect, &refusal, left)
                     }
                 };
-                // The caller may have gone in the meantime.
-                let _ = caller.send(answer);
+                // Fails if the caller has disconnected in the meantime.
+                let _ = caller.send(response);
             }
-            (ResponseRecipient::Peer { sender, stream }, FinalResponse::Response(answer)) => {
-                sender.answer(stream, answer, retries, self.load());
+            (ResponseRecipient::Peer { sender, stream }, FinalResponse::Response(response)) => {
+                sender.respond(stream, response, retries, self.load());
             }
             (ResponseRecipient::Peer { sender, stream }, FinalResponse::Refusal(refusal)) => {
                 sender.refuse(stream, &refusal, retries, self.load());
@@ -309,8 +317,8 @@
         }
     }
 
-    fn exchanges(&self) -> MutexGuard<'_, SlotMap<ExchangeKey, Exchange>> {
-        self.exchanges.lock().unwrap_or_else(PoisonError::into_inner)
+    fn table(&self) -> MutexGuard<'_, SlotMap<ExchangeKey, Exchange>> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/mustardpin-node/src/traffic/http2.rs
+++ b/crates/mustardpin-node/src/traffic/http2.rs
@@ -1,4 +1,4 @@
-//! A caller's connection that speaks HTTP/2, which hyper serves.
+//! An HTTP/2 connection of a caller, served by hyper.
 
 use std::{
     io::Cursor,
@@ -34,24 +34,24 @@
     response::CallerResponse,
 };
 
-/// Bytes of one request that a caller may send ahead.
-const STREAM_WINDOW: u32 = 64 * 1024;
-/// Requests in progress on one connection.
+/// The flow control window of one request in bytes.
+const STREAM_WINDOW_BYTES: u32 = 64 * 1024;
+/// The maximum number of requests in progress on one connection.
 const MAX_STREAMS: u32 = 1_024;
-/// Bytes of one answer that wait for a slow reader.
+/// The maximum number of bytes of one response buffered for a slow reader.
 const SEND_BUFFER_BYTES: usize = 64 * 1024;
-/// The time between two signs of life that are asked for.
+/// The interval between keep-alive pings.
 const PING_INTERVAL: Duration = Duration::from_secs(20);
 
-/// The answer ended before it was whole.
+/// The response was truncated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("the answer ended before it was whole")]
-struct Broken;
+struct Truncated;
 
-/// Serves a connection whose first bytes have been read.
+/// Serves a connection whose first bytes have been read into `buffer`.
 pub(super) async fn serve(
-    board: Arc<Exchanges>,
+    exchanges: Arc<Exchanges>,
     door: ListenerKind,
     stream: TcpStream,
     buffer: BytesMut,
@@ -59,11 +59,11 @@
 ) {
     let (reader, writer) = stream.into_split();
     let io = TokioIo::new(join(Cursor::new(buffer).chain(reader), writer));
-    let header_size = board.callers().header_size;
-    let service = service_fn(move |request| answer(Arc::clone(&board), door, request));
+    let header_size = exchanges.callers().header_size;
+    let service = service_fn(move |request| respond(Arc::clone(&exchanges), door, request));
     let connection = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
-        .initial_stream_window_size(STREAM_WINDOW)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
         .max_concurrent_streams(MAX_STREAMS)
         .max_header_list_size(header_size)
         .max_send_buf_size(SEND_BUFFER_BYTES)
@@ -71,7 +71,7 @@
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     select! {
-        // Why a connection broke is of no interest: its requests have been told.
+        // Connection errors need no handling: its requests were reported by `DisconnectGuard`.
         _ = connection.as_mut() => return,
         _ = stage.wait_for(|stage| *stage != Stage::Serving) => {}
     }
@@ -79,130 +79,139 @@
     let _ = connection.await;
 }
 
-async fn answer(
-    board: Arc<Exchanges>,
+async fn respond(
+    exchanges: Arc<Exchanges>,
     door: ListenerKind,
     request: http::Request<Incoming>,
-) -> Result<Response<Outgoing>, Broken> {
+) -> Result<Response<HyperBody>, Truncated> {
     let (parts, incoming) = request.into_parts();
     let head = head_of(&parts);
     let port = if door == ListenerKind::Local { Port::Local } else { Port::Callers };
-    let body = match read(&board, port, &head, incoming).await {
+    let body = match read_body(&exchanges, port, &head, incoming).await {
         Ok(body) => body,
-        Err(reason) => return Ok(response(intake::refusal(&board, reason, None))),
+        Err(reason) => return Ok(hyper_response(intake::refuse(&exchanges, reason, None))),
     };
-    match intake::open(&board, port, &head, body) {
-        Err(answer) => Ok(response(*answer)),
+    match intake::open(&exchanges, port, &head, body) {
+        Err(caller_response) => Ok(hyper_response(*caller_response)),
         Ok(opened) => {
-            let mut guard = Guard { board, ticket: Some(opened.ticket) };
-            let answer = opened.answer.await.map_err(|_| Broken)?;
+            let mut guard = DisconnectGuard { exchanges, ticket: Some(opened.ticket) };
+            let caller_response = opened.response.await.map_err(|_| Truncated)?;
             guard.ticket = None;
-            Ok(response(answer))
+            Ok(hyper_response(caller_response))
         }
     }
 }
 
-/// Reports that the caller has gone if it does so before the answer is there.
-struct Guard {
-    board: Arc<Exchanges>,
+/// Reports that the caller has disconnected if the request is dropped before its response is ready.
+struct DisconnectGuard {
+    exchanges: Arc<Exchanges>,
     ticket: Option<Ticket>,
 }
 
-impl Drop for Guard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket {
-            self.board.caller_gone(ticket);
+            self.exchanges.caller_gone(ticket);
         }
     }
 }
 
 fn head_of(parts: &http::request::Parts) -> head::Request {
     let authority = parts.uri.authority().map(|authority| ("host", authority.as_str().as_bytes()));
-    let fields = parts.headers.iter().map(|(name, value)| (name.as_str(), value.as_bytes()));
+    let pairs = parts.headers.iter().map(|(name, value)| (name.as_str(), value.as_bytes()));
     let has_host = parts.headers.contains_key(header::HOST);
-    let headers = fields.chain(authority.filter(|_| !has_host)).collect();
+    let headers = pairs.chain(authority.filter(|_| !has_host)).collect();
     let target = parts.uri.path_and_query().map_or("/", |target| target.as_str());
     head::Request::new(parts.method.as_str(), target, headers)
 }
 
-/// Reads a body until it is whole, or passes it on as it comes if it is too large to keep.
-async fn read(
-    board: &Arc<Exchanges>,
+/// Reads a body until it is complete, or streams it if it is too large to buffer.
+async fn read_body(
+    exchanges: &Arc<Exchanges>,
     port: Port,
     head: &head::Request,
     mut incoming: Incoming,
 ) -> Result<Body, Reason> {
-    let limit = board.callers().body_size;
+    let limit = exchanges.callers().body_size;
     let length = incoming.size_hint().exact();
     if incoming.size_hint().lower() > limit {
         return Err(Reason::BodyTooLarge);
     }
-    let mut kept = BytesMut::new();
+    let mut buffered = BytesMut::new();
     let mut trailers = Bytes::new();
-    while kept.len() <= board.limits.replay_size {
-        let frame = time::timeout(board.limits.body_timeout, incoming.frame()).await;
+    while buffered.len() <= exchanges.limits.replay_size {
+        let frame = time::timeout(exchanges.limits.body_timeout, incoming.frame()).await;
         match frame.map_err(|_| Reason::BodyTimeout)? {
-            None => return Ok(Body::there(kept.freeze(), trailers)),
+            None => return Ok(Body::complete(buffered.freeze(), trailers)),
             Some(Err(_)) => return Err(Reason::RequestMalformed),
             Some(Ok(frame)) => match frame.into_data() {
-                Ok(data) => kept.extend_from_slice(&data),
-                Err(frame) => trailers = lines_of(board, port, head, &frame),
+                Ok(data) => buffered.extend_from_slice(&data),
+                Err(frame) => trailers = trailer_lines(exchanges, port, head, &frame),
             },
         }
     }
-    let (writer, rest) = body::channel(length);
-    let feeding = Feeding { board: Arc::clone(board), port, head: head.clone(), writer, limit };
-    let read = kept.len() as u64;
-    tokio::spawn(feeding.run(incoming, read));
-    Ok(Body::Stream(rest.after(kept.freeze())))
+    let (writer, streamed) = body::channel(length);
+    let forwarder =
+        BodyForwarder { exchanges: Arc::clone(exchanges), port, head: head.clone(), writer, limit };
+    let received_bytes = buffered.len() as u64;
+    tokio::spawn(forwarder.run(incoming, received_bytes));
+    Ok(Body::Stream(streamed.with_first(buffered.freeze())))
 }
 
-/// The trailers of a request that go on, as lines.
-fn lines_of(board: &Exchanges, port: Port, head: &head::Request, frame: &Frame<Bytes>) -> Bytes {
-    let fields = frame.trailers_ref().into_iter().flatten();
-    let fields = fields.map(|(name, value)| (name.as_str(), value.as_bytes()));
-    intake::trailers(board, port, head, &fields.collect())
+/// The trailers of a request that are forwarded, as encoded lines.
+fn trailer_lines(
+    exchanges: &Exchanges,
+    port: Port,
+    head: &head::Request,
+    frame: &Frame<Bytes>,
+) -> Bytes {
+    let pairs = frame.trailers_ref().into_iter().flatten();
+    let pairs = pairs.map(|(name, value)| (name.as_str(), value.as_bytes()));
+    intake::trailers(exchanges, port, head, &pairs.collect())
 }
 
-/// A body that goes on as it comes.
-struct Feeding {
-    board: Arc<Exchanges>,
+/// Streams a request body.
+struct BodyForwarder {
+    exchanges: Arc<Exchanges>,
     port: Port,
     head: head::Request,
     writer: Writer,
     limit: u64,
 }
 
-impl Feeding {
-    /// Passes the body on. Returning early breaks it.
-    async fn run(self, mut incoming: Incoming, mut read: u64) {
+impl BodyForwarder {
+    /// Sends the body's pieces. Returning before the end truncates the body.
+    async fn run(self, mut incoming: Incoming, mut received_bytes: u64) {
         let mut trailers = Bytes::new();
         while let Some(frame) = incoming.frame().await {
             let Ok(frame) = frame else { return };
             match frame.into_data() {
                 Ok(data) => {
-                    read += data.len() as u64;
+                    received_bytes += data.len() as u64;
                     let is_sent = self.writer.send(Piece::Data(data)).await.is_ok();
-                    if read > self.limit || !is_sent {
+                    if received_bytes > self.limit || !is_sent {
                         return;
                     }
                 }
-                Err(frame) => trailers = lines_of(&self.board, self.port, &self.head, &frame),
+                Err(frame) => {
+                    trailers = trailer_lines(&self.exchanges, self.port, &self.head, &frame)
+                }
             }
         }
-        // Whoever does not wait any more has been told.
+        // Fails if the request has finished, which has been reported already.
         let _ = self.writer.send(Piece::End(trailers)).await;
     }
 }
 
-fn response(answer: CallerResponse) -> Response<Outgoing> {
-    let mut response = Response::new(Outgoing::new(answer.body));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    append(response.headers_mut(), &answer.fields);
+fn hyper_response(caller_response: CallerResponse) -> Response<HyperBody> {
+    let mut response = Response::new(HyperBody::new(caller_response.body));
+    *response.status_mut() =
+        StatusCode::from_u16(caller_response.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    append(response.headers_mut(), &caller_response.header_lines);
     response
 }
 
-/// Appends fields that stand as lines.
+/// Appends headers that are encoded as lines.
 fn append(headers: &mut HeaderMap, lines: &[u8]) {
     for line in lines.split(|&byte| byte == b'\n') {
         let Some(colon) = line.iter().position(|&byte| byte == b':') else { continue };
@@ -214,65 +223,65 @@
     }
 }
 
-/// The body of an answer as hyper takes it.
-enum Outgoing {
-    Whole(Option<Bytes>),
-    Coming(Coming),
+/// The body of a response in the form that hyper requires.
+enum HyperBody {
+    Full(Option<Bytes>),
+    Streaming(NextPiece),
     Ended,
 }
 
-/// The next piece of a body, as a future that is kept between two polls.
-type Coming = Pin<Box<dyn Future<Output = (Option<Piece>, Stream)> + Send>>;
+/// The next piece of a body, as a future that is kept between polls.
+type NextPiece = Pin<Box<dyn Future<Output = (Option<Piece>, Stream)> + Send>>;
 
-impl Outgoing {
-    fn new(body: Body) -> Outgoing {
+impl HyperBody {
+    fn new(body: Body) -> HyperBody {
         match body {
-            Body::Empty => Outgoing::Ended,
-            Body::Whole(bytes) => Outgoing::Whole((!bytes.is_empty()).then_some(bytes)),
-            Body::Stream(rest) => Outgoing::Coming(next(rest)),
+            Body::Empty => HyperBody::Ended,
+            Body::Complete(bytes) => HyperBody::Full((!bytes.is_empty()).then_some(bytes)),
+            Body::Stream(streamed) => HyperBody::Streaming(read_next(streamed)),
         }
     }
 }
 
-fn next(mut rest: Stream) -> Coming {
+fn read_next(mut streamed: Stream) -> NextPiece {
     Box::pin(async move {
-        let piece = rest.next().await;
-        (piece, rest)
+        let piece = streamed.next().await;
+        (piece, streamed)
     })
 }
 
-impl http_body::Body for Outgoing {
+impl http_body::Body for HyperBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        let (piece, rest) = match &mut *self {
-            Outgoing::Whole(bytes) => return Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            Outgoing::Ended => return Poll::Ready(None),
-            Outgoing::Coming(coming) => std::task::ready!(coming.as_mut().poll(cx)),
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
+        let (piece, streamed) = match &mut *self {
+            HyperBody::Full(bytes) => return Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
+            HyperBody::Ended => return Poll::Ready(None),
+            HyperBody::Streaming(next_piece) => std::task::ready!(next_piece.as_mut().poll(cx)),
         };
         Poll::Ready(match piece {
             Some(Piece::Data(bytes)) => {
-                *self = Outgoing::Coming(next(rest));
+                *self = HyperBody::Streaming(read_next(streamed));
                 Some(Ok(Frame::data(bytes)))
             }
             Some(Piece::End(trailers)) => {
-                *self = Outgoing::Ended;
-                let mut fields = HeaderMap::new();
-                append(&mut fields, &trailers);
-                (!fields.is_empty()).then(|| Ok(Frame::trailers(fields)))
+                *self = HyperBody::Ended;
+                let mut trailer_map = HeaderMap::new();
+                append(&mut trailer_map, &trailers);
+                (!trailer_map.is_empty()).then(|| Ok(Frame::trailers(trailer_map)))
             }
             None => {
-                *self = Outgoing::Ended;
-                Some(Err(Broken))
+                *self = HyperBody::Ended;
+                Some(Err(Truncated))
             }
         })
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Outgoing::Whole(None) | Outgoing::Ended)
+        matches!(self, HyperBody::Full(None) | HyperBody::Ended)
     }
 }
--- a/crates/mustardpin-node/src/traffic/intake.rs
+++ b/crates/mustardpin-node/src/traffic/intake.rs
@@ -1,4 +1,4 @@
-//! Takes a request in whose head has come: reads what decisions need, and puts it on the board.
+//! Accepts a request whose head has been received: parses it and inserts it into `Exchanges`.
 
 use std::sync::Arc;
 
@@ -23,35 +23,36 @@
     response::CallerResponse,
 };
 
-/// When callers should send again what a node has no room for.
+/// When callers should retry a request that exceeded the limit of requests in progress.
 const RETRY_AFTER: Millis = Millis(300);
 
-/// A request that was put on the board.
+/// A request that was inserted into `Exchanges`.
 pub(super) struct Opened {
-    /// Its name on the board.
+    /// The ticket that identifies the request.
     pub(super) ticket: Ticket,
-    /// Where its answer comes.
-    pub(super) answer: oneshot::Receiver<CallerResponse>,
+    /// Receives the response.
+    pub(super) response: oneshot::Receiver<CallerResponse>,
 }
 
-/// Puts a caller's request on the board, or says what to answer instead.
+/// Inserts a caller's request into `Exchanges`. Returns the response to send if the request is
+/// refused.
 pub(super) fn open(
-    board: &Arc<Exchanges>,
+    exchanges: &Arc<Exchanges>,
     port: Port,
     head: &head::Request,
     body: Body,
 ) -> Result<Opened, Box<CallerResponse>> {
-    let parsed = board.dialect.read_request(port, head);
-    let parsed = parsed.map_err(|error| Box::new(refusal(board, error.reason, None)))?;
-    let expires = parsed.timeout.map(|timeout| board.clock.now() + timeout);
-    let (caller, answer) = oneshot::channel();
-    let outbound = outbound(board, head, &parsed, body);
+    let parsed = exchanges.dialect.read_request(port, head);
+    let parsed = parsed.map_err(|error| Box::new(refuse(exchanges, error.reason, None)))?;
+    let expires = parsed.timeout.map(|timeout| exchanges.clock.now() + timeout);
+    let (caller, response) = oneshot::channel();
+    let outbound = outbound(exchanges, head, &parsed, body);
     let (id, fingerprint) = (outbound.id.clone(), outbound.fingerprint);
     let exchange = Exchange {
         request: Arc::new(outbound),
-        answer_to: Some(ResponseRecipient::Caller(caller)),
+        recipient: Some(ResponseRecipient::Caller(caller)),
         attempt: Attempt::None,
-        held: None,
+        undecided: None,
         expires,
     };
     let path = head.target().split('?').next().unwrap_or_default();
@@ -65,52 +66,52 @@
         fingerprint,
         timeout: parsed.timeout,
     };
-    match board.open(exchange, request) {
-        Some(ticket) => Ok(Opened { ticket, answer }),
-        None => Err(Box::new(refusal(board, Reason::InProgressLimit, parsed.timeout))),
+    match exchanges.open(exchange, request) {
+        Some(ticket) => Ok(Opened { ticket, response }),
+        None => Err(Box::new(refuse(exchanges, Reason::InProgressLimit, parsed.timeout))),
     }
 }
 
-/// The trailers of a request that go on, as lines.
+/// The trailers of a request that are forwarded, as encoded lines.
 pub(super) fn trailers(
-    board: &Exchanges,
+    exchanges: &Exchanges,
     port: Port,
     head: &head::Request,
     trailers: &Headers,
 ) -> Bytes {
-    // A request whose head cannot be read goes nowhere.
-    let Ok(parsed) = board.dialect.read_request(port, head) else { return Bytes::new() };
-    let mut lines = Vec::new();
+    // A request whose head cannot be parsed is not forwarded.
+    let Ok(parsed) = exchanges.dialect.read_request(port, head) else { return Bytes::new() };
+    let mut trailer_lines = Vec::new();
     scrub::copy(
         trailers,
-        |name, value| board.dialect.forwards_request_header(&parsed, name, value),
-        &mut lines,
+        |name, value| exchanges.dialect.forwards_request_header(&parsed, name, value),
+        &mut trailer_lines,
     );
-    lines.into()
+    trailer_lines.into()
 }
 
-/// The request as it goes on.
+/// The request to be sent on.
 fn outbound(
-    board: &Exchanges,
+    exchanges: &Exchanges,
     head: &head::Request,
     parsed: &ParsedRequest,
     body: Body,
 ) -> Outbound {
-    let mut fields = Vec::with_capacity(256);
-    let passes =
-        |name: &str, value: &[u8]| board.dialect.forwards_request_header(parsed, name, value);
-    scrub::copy(&head.headers, passes, &mut fields);
-    let begin = match &body {
-        Body::Whole(bytes) => bytes,
-        Body::Stream(rest) => rest.first(),
+    let mut header_lines = Vec::with_capacity(256);
+    let is_forwarded =
+        |name: &str, value: &[u8]| exchanges.dialect.forwards_request_header(parsed, name, value);
+    scrub::copy(&head.headers, is_forwarded, &mut header_lines);
+    let prefix = match &body {
+        Body::Complete(bytes) => bytes,
+        Body::Stream(streamed) => streamed.first(),
         Body::Empty => &[],
     };
-    let fingerprint = fingerprint::of(&board.service, head.method(), head.target(), begin);
+    let fingerprint = fingerprint::of(&exchanges.service, head.method(), head.target(), prefix);
     let head = OutboundHead {
         id: parsed.id.clone().unwrap_or_else(random_id),
         method: head.method().into(),
         target: head.target().into(),
-        fields: fields.into(),
+        header_lines: header_lines.into(),
         fingerprint,
         is_from_peer: false,
     };
@@ -121,17 +122,25 @@
     compact_str::format_compact!("{:016x}", rand::random::<u64>())
 }
 
-/// The answer of a refusal that the world has no part in.
-pub(super) fn refusal(board: &Exchanges, reason: Reason, left: Option<Millis>) -> CallerResponse {
+/// The response for a request that is refused before it reaches the control thread.
+pub(super) fn refuse(
+    exchanges: &Exchanges,
+    reason: Reason,
+    left: Option<Millis>,
+) -> CallerResponse {
     let refusal = match reason {
         Reason::InProgressLimit => Refusal::not_run(reason).after(RETRY_AFTER),
         _ => Refusal::not_run(reason),
     };
-    answer(board, refusal, left)
+    refusal_response(exchanges, refusal, left)
 }
 
-/// The answer of a refusal, which is counted.
-pub(super) fn answer(board: &Exchanges, refusal: Refusal, left: Option<Millis>) -> CallerResponse {
-    board.outbox.push(Event::Refused(refusal.reason));
-    CallerResponse::refusal(&*board.dialect, &refusal, left)
+/// Counts a refusal and returns its response.
+pub(super) fn refusal_response(
+    exchanges: &Exchanges,
+    refusal: Refusal,
+    left: Option<Millis>,
+) -> CallerResponse {
+    exchanges.outbox.push(Event::Refused(refusal.reason));
+    CallerResponse::refusal(&*exchanges.dialect, &refusal, left)
 }
--- a/crates/mustardpin-node/src/traffic/link.rs
+++ b/crates/mustardpin-node/src/traffic/link.rs
@@ -1,9 +1,10 @@
 //! Connections between nodes.
 //!
 //! A node keeps one connection to each of its peers, over which it sends requests and messages and
-//! gets answers. A peer's own connection to it carries what the peer sends. Both begin with a frame
-//! that says who is there. Requests of all callers share a connection, and frames that are queued
-//! in one turn of the event loop are written together.
+//! receives responses. Requests and messages of a peer arrive over the peer's own connection to
+//! this node. Both sides begin with a hello frame that identifies the node. Requests of all callers
+//! share a connection, and frames that are queued in one iteration of the event loop are written
+//! together.
 
 mod incoming;
 mod outgoing;
@@ -26,20 +27,21 @@
 
 pub(super) use self::{
     incoming::accept,
-    outgoing::{Outgoing, Passed, find},
+    outgoing::{OutgoingLink, SendResult, query_seed},
 };
 
-/// Who this node is, towards other nodes.
+/// The identity that this node presents to other nodes.
 #[derive(Debug, Clone)]
 pub struct Credentials {
-    /// What the node tells others of itself.
+    /// The announcement that this node sends to other nodes.
     pub announcement: Announcement,
     /// The digest of the credential that all nodes of the fleet share.
     pub fleet: KeyDigest,
 }
 
 impl Credentials {
-    /// The first frame to whoever is at the other end; `to` is the node that is wanted.
+    /// The hello frame for the other end of a connection; `to` is the expected node, if it is
+    /// known.
     fn hello(&self, to: Option<NodeId>, revision: Revision) -> Hello {
         Hello {
             version: VERSION,
@@ -51,50 +53,50 @@
     }
 }
 
-/// The connections to and from all peers.
+/// The connections to and from peers.
 pub(super) struct Links {
     credentials: Credentials,
-    outgoing: Mutex<HashMap<NodeId, Arc<Outgoing>>>,
-    /// The sending sides of connections that peers have made, to tell them of the node's load.
+    outgoing: Mutex<HashMap<NodeId, Arc<OutgoingLink>>>,
+    /// The senders of connections that peers have made, for publishing this node's load.
     incoming: Mutex<HashMap<u64, Arc<Sender>>>,
 }
 
 impl Links {
-    /// No connections.
+    /// Creates a table without connections.
     pub(super) fn new(credentials: Credentials) -> Links {
         Links { credentials, outgoing: Mutex::default(), incoming: Mutex::default() }
     }
 
-    /// The connection to a peer, if one is kept.
-    pub(super) fn to(&self, node: NodeId) -> Option<Arc<Outgoing>> {
+    /// The connection to a peer, if one is maintained.
+    pub(super) fn get(&self, node: NodeId) -> Option<Arc<OutgoingLink>> {
         self.outgoing().get(&node).cloned()
     }
 
-    /// Keeps a connection to a peer from now on.
-    pub(super) fn keep(&self, board: &Arc<Exchanges>, announcement: Announcement) {
+    /// Starts maintaining a connection to a peer.
+    pub(super) fn connect(&self, exchanges: &Arc<Exchanges>, announcement: Announcement) {
         let node = announcement.node;
-        let link = Arc::new(Outgoing::new(announcement));
+        let link = Arc::new(OutgoingLink::new(announcement));
         if let Some(old) = self.outgoing().insert(node, Arc::clone(&link)) {
-            old.give_up();
+            old.close();
         }
-        tokio::spawn(outgoing::keep(Arc::clone(board), link));
+        tokio::spawn(outgoing::maintain(Arc::clone(exchanges), link));
     }
 
-    /// Keeps no connection to a peer any more.
-    pub(super) fn drop(&self, node: NodeId) {
+    /// Closes the connection to a peer and stops reconnecting.
+    pub(super) fn disconnect(&self, node: NodeId) {
         if let Some(link) = self.outgoing().remove(&node) {
-            link.give_up();
+            link.close();
         }
     }
 
-    /// Sends a message to a peer, if there is a connection to it.
+    /// Sends a message to a peer, if it is connected.
     pub(super) fn send(&self, to: NodeId, message: Message) {
-        if let Some(link) = self.to(to) {
+        if let Some(link) = self.get(to) {
             link.send(&Head::Message(message.into()));
         }
     }
 
-    /// Tells all peers that have a connection to this node what its target has to do.
+    /// Sends this node's load to all peers that are connected to it.
     pub(super) fn publish(&self, load: LoadReport) {
         let incoming = self.incoming.lock().unwrap_or_else(PoisonError::into_inner);
         for sender in incoming.values() {
@@ -102,12 +104,12 @@
         }
     }
 
-    fn outgoing(&self) -> MutexGuard<'_, HashMap<NodeId, Arc<Outgoing>>> {
+    fn outgoing(&self) -> MutexGuard<'_, HashMap<NodeId, Arc<OutgoingLink>>> {
         self.outgoing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Looks for whoever is at an address of the settings, until there is a peer.
-pub async fn discover(board: Arc<Exchanges>, seed: SocketAddr) {
-    find(&board, seed).await;
+/// Queries a seed address periodically and reports the node that replies to the control thread.
+pub async fn discover(exchanges: Arc<Exchanges>, seed: SocketAddr) {
+    query_seed(&exchanges, seed).await;
 }
--- a/crates/mustardpin-node/src/traffic/link/incoming.rs
+++ b/crates/mustardpin-node/src/traffic/link/incoming.rs
@@ -28,53 +28,54 @@
     sender::Sender,
 };
 
-/// How long the first frames may take.
-const GREETING_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The timeout of the exchange of hello frames.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-static LAST_CONNECTION: AtomicU64 = AtomicU64::new(0);
+static NEXT_CONNECTION_ID: AtomicU64 = AtomicU64::new(0);
 
-/// Where pieces of bodies go that are still coming.
+/// The sending ends of streamed request bodies, by stream id.
 type Bodies = HashMap<u32, Writer>;
 
 /// Serves a connection of a peer until it ends.
-pub(in crate::traffic) async fn accept(board: Arc<Exchanges>, stream: TcpStream) {
+pub(in crate::traffic) async fn accept(exchanges: Arc<Exchanges>, stream: TcpStream) {
     let Ok(mut wire) = Wire::new(stream) else { return };
-    let greeted = time::timeout(GREETING_TIMEOUT, greet(&board, &mut wire)).await;
-    let Ok(Ok(peer)) = greeted else { return };
+    let handshaken = time::timeout(HANDSHAKE_TIMEOUT, handshake(&exchanges, &mut wire)).await;
+    let Ok(Ok(peer)) = handshaken else { return };
     let from = peer.node;
-    board.outbox.push(Event::PeerSeen(peer));
+    exchanges.outbox.push(Event::PeerSeen(peer));
     let sender = Arc::new(Sender::default());
-    let connection = LAST_CONNECTION.fetch_add(1, Ordering::Relaxed);
-    sender.send(&Head::Load(board.load()), &[]);
-    let lock = || board.links.incoming.lock().unwrap_or_else(PoisonError::into_inner);
+    let connection = NEXT_CONNECTION_ID.fetch_add(1, Ordering::Relaxed);
+    sender.send(&Head::Load(exchanges.load()), &[]);
+    let lock = || exchanges.links.incoming.lock().unwrap_or_else(PoisonError::into_inner);
     lock().insert(connection, Arc::clone(&sender));
-    // Why a connection ended is told by the peer that made it.
-    let _ = carry(&board, from, &mut wire, &sender).await;
+    // The peer reports why the connection ended, since the peer made it.
+    let _ = process_frames(&exchanges, from, &mut wire, &sender).await;
     lock().remove(&connection);
     for ticket in sender.close() {
-        board.caller_gone(ticket);
+        exchanges.caller_gone(ticket);
     }
 }
 
-/// Finds out who has connected, and says who is here.
-async fn greet(board: &Exchanges, wire: &mut Wire) -> Result<Announcement, Error> {
-    let hello = wire.greeted().await?;
-    let credentials = &board.links.credentials;
+/// Receives the peer's hello frame, verifies it, and sends this node's.
+async fn handshake(exchanges: &Exchanges, wire: &mut Wire) -> Result<Announcement, Error> {
+    let hello = wire.receive_hello().await?;
+    let credentials = &exchanges.links.credentials;
     if hello.credential() != credentials.fleet || hello.version != frame::VERSION {
         return Err(Error::Credential);
     }
     let own = credentials.announcement.node;
     let peer: Result<Announcement, _> = hello.announcement.try_into();
-    let peer = peer.map_err(|_| Error::Unexpected)?;
-    wire.greet(credentials.hello(Some(peer.node), Revision(board.load().revision))).await?;
+    let peer = peer.map_err(|_| Error::UnexpectedFrame)?;
+    wire.send_hello(credentials.hello(Some(peer.node), Revision(exchanges.load().revision)))
+        .await?;
     if hello.to != 0 && hello.to != own.0 {
-        return Err(Error::Destination);
+        return Err(Error::WrongNode);
     }
     Ok(peer)
 }
 
-async fn carry(
-    board: &Arc<Exchanges>,
+async fn process_frames(
+    exchanges: &Arc<Exchanges>,
     from: NodeId,
     wire: &mut Wire,
     sender: &Arc<Sender>,
@@ -82,15 +83,15 @@
     let mut bodies = Bodies::default();
     loop {
         while let Some((head, payload)) = wire.take()? {
-            receive(board, from, sender, &mut bodies, head, payload).await?;
+            process_frame(exchanges, from, sender, &mut bodies, head, payload).await?;
         }
         wire.advance(sender).await?;
     }
 }
 
-/// Takes a frame in.
-async fn receive(
-    board: &Arc<Exchanges>,
+/// Processes a received frame.
+async fn process_frame(
+    exchanges: &Arc<Exchanges>,
     from: NodeId,
     sender: &Arc<Sender>,
     bodies: &mut Bodies,
@@ -98,17 +99,19 @@
     payload: Bytes,
 ) -> Result<(), Error> {
     match head {
-        Head::Request(request) => take_request(board, from, sender, bodies, request, payload)?,
+        Head::Request(request) => {
+            receive_request(exchanges, from, sender, bodies, request, payload)?
+        }
         Head::Cancel(stream) => {
             bodies.remove(&stream);
             sender.stop_chunks(stream);
-            if let Some(ticket) = sender.answered(stream) {
-                board.caller_gone(ticket);
+            if let Some(ticket) = sender.remove_request(stream) {
+                exchanges.caller_gone(ticket);
             }
         }
         Head::Chunk { stream, last } => {
             let Some(writer) = bodies.get(&stream) else { return Ok(()) };
-            // A body that nobody takes any more belongs to a request that has ended.
+            // Fails if the request of this body has already finished.
             let _ = match last {
                 false => writer.send(Piece::Data(payload)).await,
                 true => writer.send(Piece::End(payload)).await,
@@ -120,22 +123,22 @@
         Head::Broken { stream } => {
             bodies.remove(&stream);
         }
-        Head::Credit { stream } => sender.credited(stream),
+        Head::Credit { stream } => sender.add_credit(stream),
         Head::Message(message) => {
             let message = message.try_into()?;
-            board.outbox.push(Event::Peer { from, message });
+            exchanges.outbox.push(Event::Peer { from, message });
         }
         Head::Ping => {
             sender.send(&Head::Pong, &[]);
         }
         Head::Pong | Head::Load(_) => {}
-        Head::Hello(_) | Head::Answer(_) | Head::Refused(_) => return Err(Error::Unexpected),
+        Head::Hello(_) | Head::Answer(_) | Head::Refused(_) => return Err(Error::UnexpectedFrame),
     }
     Ok(())
 }
 
-fn take_request(
-    board: &Arc<Exchanges>,
+fn receive_request(
+    exchanges: &Arc<Exchanges>,
     from: NodeId,
     sender: &Arc<Sender>,
     bodies: &mut Bodies,
@@ -143,17 +146,17 @@
     payload: Bytes,
 ) -> Result<(), Error> {
     let stream = head.stream;
-    let (fields, whole) = frame::split(payload, head.fields)?;
+    let (header_lines, complete_body) = frame::split(payload, head.fields)?;
     let body = match head.body {
-        frame::Body::Whole | frame::Body::Empty => Body::Whole(whole),
+        frame::Body::Whole | frame::Body::Empty => Body::Complete(complete_body),
         frame::Body::Chunks { length } => {
-            let (writer, rest) = body::from_peer(Arc::clone(sender), stream, length);
+            let (writer, streamed) = body::from_peer(Arc::clone(sender), stream, length);
             bodies.insert(stream, writer);
-            Body::Stream(rest)
+            Body::Stream(streamed)
         }
     };
     let request = |ticket| {
-        sender.opened(stream, ticket);
+        sender.add_request(stream, ticket);
         Request {
             ticket,
             origin: Origin::Peer(head.forwarded(from)),
@@ -169,21 +172,21 @@
         id: head.id.clone(),
         method: head.method.clone(),
         target: head.target.clone(),
-        fields,
+        header_lines,
         fingerprint: head.fingerprint(),
         is_from_peer: true,
     };
     let exchange = Exchange {
         request: Arc::new(Outbound::new(outbound, body)),
-        answer_to: Some(ResponseRecipient::Peer { sender: Arc::clone(sender), stream }),
+        recipient: Some(ResponseRecipient::Peer { sender: Arc::clone(sender), stream }),
         attempt: Attempt::None,
-        held: None,
+        undecided: None,
         expires: None,
     };
-    if board.open(exchange, request).is_none() {
+    if exchanges.open(exchange, request).is_none() {
         let reason = Reason::InProgressLimit;
-        board.outbox.push(Event::Refused(reason));
-        sender.refuse(stream, &Refusal::not_run(reason), 0, board.load());
+        exchanges.outbox.push(Event::Refused(reason));
+        sender.refuse(stream, &Refusal::not_run(reason), 0, exchanges.load());
     }
     Ok(())
 }
--- a/crates/mustardpin-node/src/traffic/link/outgoing.rs
+++ b/crates/mustardpin-node/src/traffic/link/outgoing.rs
@@ -30,112 +30,115 @@
     sender::Sender,
 };
 
-/// How long making a connection may take, with the first frames.
+/// The timeout for connecting, including the exchange of hello frames.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The first pause after a connection that was not made or broke.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause between two attempts to make a connection.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// The time between two looks whether the peer still answers.
-const WATCH_PERIOD: Duration = Duration::from_millis(250);
-/// A peer from which nothing has come for this long is asked for a sign of life.
-const QUIET: Millis = Millis(700);
-/// The same while requests wait for it.
-const QUIET_WITH_REQUESTS: Millis = Millis(250);
-/// A peer that was asked this long ago and has not answered counts as silent.
-const SILENT: Millis = Millis(500);
-/// A connection to a peer that was asked this long ago and has not answered is given up.
-const LOST: Millis = Millis(1_500);
-/// The time between two questions to a seed.
-const SEEK_PERIOD: Duration = Duration::from_secs(2);
-
-/// A request that the peer has.
+/// The delay before the first reconnect after a connection failed or could not be made.
+const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
+/// The maximum delay between two attempts to connect.
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(800);
+/// The interval between two liveness checks of the peer.
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// A peer is pinged after nothing has been received from it for this long.
+const IDLE_PING_TIMEOUT: Millis = Millis(700);
+/// Like `IDLE_PING_TIMEOUT`, while requests wait for the peer.
+const BUSY_PING_TIMEOUT: Millis = Millis(250);
+/// A peer counts as silent if it has sent nothing for this long after a ping.
+const SILENT_TIMEOUT: Millis = Millis(500);
+/// The connection is closed if the peer has sent nothing for this long after a ping.
+const LOST_TIMEOUT: Millis = Millis(1_500);
+/// The interval between two queries to a seed address.
+const SEED_QUERY_INTERVAL: Duration = Duration::from_secs(2);
+
+/// A request that was sent to the peer and has not ended.
 #[derive(Debug)]
 struct Stream {
     ticket: Ticket,
-    /// Where its frame starts in the bytes of the connection.
-    starts_at: u64,
-    /// Where pieces of the answer go that is still coming, and its status.
-    answer: Option<(Writer, u16)>,
+    /// The byte offset of its frame in the connection's output.
+    frame_offset: u64,
+    /// The sending end of a response body that is being streamed, and the response's status.
+    response: Option<(Writer, u16)>,
 }
 
-/// The connection to a peer.
+/// A maintained connection to a peer.
 #[derive(Debug)]
-pub(in crate::traffic) struct Outgoing {
+pub(in crate::traffic) struct OutgoingLink {
     announcement: Announcement,
     sender: Mutex<Option<Arc<Sender>>>,
     streams: Mutex<HashMap<u32, Stream>>,
     last_stream: AtomicU32,
-    is_given_up: AtomicBool,
-    given_up: Notify,
+    is_closed: AtomicBool,
+    closed: Notify,
 }
 
-/// Whether a request was passed to a peer.
-pub(in crate::traffic) enum Passed {
-    /// It is on its way.
+/// Whether a request was sent to a peer.
+pub(in crate::traffic) enum SendResult {
+    /// The request was queued on the connection.
     Sent,
-    /// There is no connection.
+    /// There is no connection, or its queue is full.
     NotSent,
-    /// Its body was sent before.
-    Gone,
+    /// The body was a stream that an earlier attempt has consumed.
+    BodyConsumed,
 }
 
-impl Outgoing {
-    pub(super) fn new(announcement: Announcement) -> Outgoing {
-        Outgoing {
+impl OutgoingLink {
+    pub(super) fn new(announcement: Announcement) -> OutgoingLink {
+        OutgoingLink {
             announcement,
             sender: Mutex::default(),
             streams: Mutex::default(),
             last_stream: AtomicU32::new(0),
-            is_given_up: AtomicBool::new(false),
-            given_up: Notify::new(),
+            is_closed: AtomicBool::new(false),
+            closed: Notify::new(),
         }
     }
 
-    /// Queues a frame, if there is a connection.
+    /// Queues a frame, if the peer is connected.
     pub(super) fn send(&self, head: &Head) {
         if let Some(sender) = self.sender() {
             sender.send(head, &[]);
         }
     }
 
-    /// A name for a request that is to be passed to the peer.
+    /// Allocates the id of a new stream.
     pub(in crate::traffic) fn next_stream(&self) -> u32 {
         self.last_stream.fetch_add(1, Ordering::Relaxed).wrapping_add(1)
     }
 
-    /// Passes a request to the peer. `entry` are the fields that this node adds.
-    pub(in crate::traffic) fn pass(
+    /// Sends a request to the peer. `entry` holds the headers that this node adds, as encoded
+    /// lines.
+    pub(in crate::traffic) fn send_request(
         &self,
         stream: u32,
         forward: &Forward,
         request: &Outbound,
         entry: &[u8],
-    ) -> Passed {
-        let Some(sender) = self.sender() else { return Passed::NotSent };
-        let (whole, rest, kind) = match request.payload() {
-            Payload::Whole(bytes) => (bytes, None, frame::Body::Whole),
-            Payload::Stream(rest) => {
-                let kind = frame::Body::Chunks { length: rest.length };
-                (Bytes::new(), Some(rest), kind)
+    ) -> SendResult {
+        let Some(sender) = self.sender() else { return SendResult::NotSent };
+        let (complete_body, streamed, kind) = match request.payload() {
+            Payload::Complete(bytes) => (bytes, None, frame::Body::Whole),
+            Payload::Stream(streamed) => {
+                let kind = frame::Body::Chunks { length: streamed.length };
+                (Bytes::new(), Some(streamed), kind)
             }
-            Payload::Gone => return Passed::Gone,
+            Payload::Consumed => return SendResult::BodyConsumed,
         };
-        let length = (request.fields.len() + entry.len()) as u32;
+        let length = (request.header_lines.len() + entry.len()) as u32;
         let head = request_head(stream, forward, request, length, kind);
         let mut streams = self.streams();
-        let Some(starts_at) = sender.send(&head, &[&request.fields, entry, &whole]) else {
-            return Passed::NotSent;
+        let Some(frame_offset) =
+            sender.send(&head, &[&request.header_lines, entry, &complete_body])
+        else {
+            return SendResult::NotSent;
         };
-        streams.insert(stream, Stream { ticket: forward.ticket, starts_at, answer: None });
+        streams.insert(stream, Stream { ticket: forward.ticket, frame_offset, response: None });
         drop(streams);
-        if let Some(rest) = rest {
-            tokio::spawn(sender.send_chunks(stream, rest));
+        if let Some(streamed) = streamed {
+            tokio::spawn(sender.send_chunks(stream, streamed));
         }
-        Passed::Sent
+        SendResult::Sent
     }
 
-    /// Does not wait for an answer any more. Returns whether it was still to come.
+    /// Cancels a request. Returns whether it was still in progress.
     pub(in crate::traffic) fn cancel(&self, stream: u32) -> bool {
         let was_open = self.streams().remove(&stream).is_some();
         if was_open && let Some(sender) = self.sender() {
@@ -145,14 +148,14 @@
         was_open
     }
 
-    /// Ends the connection for good.
-    pub(super) fn give_up(&self) {
-        self.is_given_up.store(true, Ordering::Relaxed);
-        self.given_up.notify_one();
+    /// Closes the connection permanently.
+    pub(super) fn close(&self) {
+        self.is_closed.store(true, Ordering::Relaxed);
+        self.closed.notify_one();
     }
 
-    fn is_given_up(&self) -> bool {
-        self.is_given_up.load(Ordering::Relaxed)
+    fn is_closed(&self) -> bool {
+        self.is_closed.load(Ordering::Relaxed)
     }
 
     fn sender(&self) -> Option<Arc<Sender>> {
@@ -200,77 +203,83 @@
     })
 }
 
-/// Keeps the connection to a peer until it is given up.
-pub(super) async fn keep(board: Arc<Exchanges>, link: Arc<Outgoing>) {
+/// Maintains the connection to a peer until it is closed by `OutgoingLink::close`.
+pub(super) async fn maintain(exchanges: Arc<Exchanges>, link: Arc<OutgoingLink>) {
     let node = link.announcement.node;
-    let mut pause = FIRST_PAUSE;
-    while !link.is_given_up() {
-        let connected = time::timeout(CONNECT_TIMEOUT, connect(&board, &link)).await;
+    let mut backoff = MIN_RECONNECT_BACKOFF;
+    while !link.is_closed() {
+        let connected = time::timeout(CONNECT_TIMEOUT, connect(&exchanges, &link)).await;
         let error = match connected.map_err(Error::from).flatten() {
             Err(error) => error,
             Ok((mut wire, revision)) => {
-                pause = FIRST_PAUSE;
+                backoff = MIN_RECONNECT_BACKOFF;
                 let sender = Arc::new(Sender::default());
                 link.set_sender(Some(Arc::clone(&sender)));
                 let peer = link.announcement.clone();
-                board.outbox.push(Event::LinkUp { peer, revision });
-                let error = carry(&board, &link, &mut wire, &sender).await;
+                exchanges.outbox.push(Event::LinkUp { peer, revision });
+                let error = process_frames(&exchanges, &link, &mut wire, &sender).await;
                 link.set_sender(None);
                 // Peers send no requests over this connection.
                 let _ = sender.close();
-                fail_streams(&board, &link, wire.total_written);
+                fail_streams(&exchanges, &link, wire.total_written);
                 error
             }
         };
-        if link.is_given_up() {
+        if link.is_closed() {
             return;
         }
-        board.outbox.push(Event::LinkDown { peer: node, refused: is_refused(&error) });
+        exchanges.outbox.push(Event::LinkDown { peer: node, refused: is_refused(&error) });
         tokio::select! {
-            () = time::sleep(pause) => {}
-            () = link.given_up.notified() => return,
+            () = time::sleep(backoff) => {}
+            () = link.closed.notified() => return,
         }
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF);
     }
 }
 
 fn is_refused(error: &Error) -> bool {
     match error {
         Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
-        Error::Destination => true,
+        Error::WrongNode => true,
         _ => false,
     }
 }
 
-/// Makes the connection. Returns the revision of the peer's configuration with it.
-async fn connect(board: &Exchanges, link: &Outgoing) -> Result<(Wire, Revision), Error> {
+/// Connects to the peer. Returns the connection and the revision of the peer's configuration.
+async fn connect(exchanges: &Exchanges, link: &OutgoingLink) -> Result<(Wire, Revision), Error> {
     let stream = TcpStream::connect(link.announcement.address.as_str()).await?;
     let mut wire = Wire::new(stream)?;
-    let credentials = &board.links.credentials;
-    let own = Revision(board.load().revision);
-    wire.greet(credentials.hello(Some(link.announcement.node), own)).await?;
-    let hello = wire.greeted().await?;
+    let credentials = &exchanges.links.credentials;
+    let own = Revision(exchanges.load().revision);
+    wire.send_hello(credentials.hello(Some(link.announcement.node), own)).await?;
+    let hello = wire.receive_hello().await?;
     if hello.credential() != credentials.fleet || hello.version != frame::VERSION {
         return Err(Error::Credential);
     }
     let revision = Revision(hello.revision);
     let peer: Result<Announcement, _> = hello.announcement.try_into();
-    if peer.map_err(|_| Error::Unexpected)?.node != link.announcement.node {
-        return Err(Error::Destination);
+    if peer.map_err(|_| Error::UnexpectedFrame)?.node != link.announcement.node {
+        return Err(Error::WrongNode);
     }
     Ok((wire, revision))
 }
 
-/// Carries frames until the connection ends. Returns why it did.
-async fn carry(board: &Arc<Exchanges>, link: &Outgoing, wire: &mut Wire, sender: &Sender) -> Error {
-    let mut watch = Watch::new(board.clock.now());
-    let mut period = time::interval(WATCH_PERIOD);
-    period.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+/// Processes frames until the connection ends. Returns the reason.
+async fn process_frames(
+    exchanges: &Arc<Exchanges>,
+    link: &OutgoingLink,
+    wire: &mut Wire,
+    sender: &Sender,
+) -> Error {
+    let mut monitor = LivenessMonitor::new(exchanges.clock.now());
+    let mut checks = time::interval(LIVENESS_CHECK_INTERVAL);
+    checks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         loop {
             match wire.take() {
                 Ok(Some((head, payload))) => {
-                    if let Err(error) = receive(board, link, sender, head, payload).await {
+                    if let Err(error) = process_frame(exchanges, link, sender, head, payload).await
+                    {
                         return error;
                     }
                 }
@@ -280,191 +289,206 @@
         }
         tokio::select! {
             advanced = wire.advance(sender) => match advanced {
-                Ok(true) => watch.heard(board, link),
-                // What this node writes is no sign of life of its peer.
+                Ok(true) => monitor.record_received(exchanges, link),
+                // A write by this node does not show that the peer is alive.
                 Ok(false) => {}
                 Err(error) => return error,
             },
-            _ = period.tick() => {
-                if let Err(error) = watch.look(board, link, sender) {
+            _ = checks.tick() => {
+                if let Err(error) = monitor.check(exchanges, link, sender) {
                     return error;
                 }
             }
-            () = link.given_up.notified() => return Error::GivenUp,
+            () = link.closed.notified() => return Error::Closed,
         }
     }
 }
 
-/// Watches whether a peer still answers.
-struct Watch {
-    heard: Millis,
-    asked: Option<Millis>,
+/// Monitors whether a peer is alive.
+struct LivenessMonitor {
+    last_received: Millis,
+    pinged_at: Option<Millis>,
     is_silent: bool,
 }
 
-impl Watch {
-    fn new(now: Millis) -> Watch {
-        Watch { heard: now, asked: None, is_silent: false }
+impl LivenessMonitor {
+    fn new(now: Millis) -> LivenessMonitor {
+        LivenessMonitor { last_received: now, pinged_at: None, is_silent: false }
     }
 
-    /// Something has come.
-    fn heard(&mut self, board: &Exchanges, link: &Outgoing) {
-        self.heard = board.clock.now();
-        self.asked = None;
+    /// Records that bytes were received from the peer.
+    fn record_received(&mut self, exchanges: &Exchanges, link: &OutgoingLink) {
+        self.last_received = exchanges.clock.now();
+        self.pinged_at = None;
         if self.is_silent {
             self.is_silent = false;
             let peer = link.announcement.node;
-            board.outbox.push(Event::LinkSilent { peer, silent: false });
+            exchanges.outbox.push(Event::LinkSilent { peer, silent: false });
         }
     }
 
-    fn look(&mut self, board: &Exchanges, link: &Outgoing, sender: &Sender) -> Result<(), Error> {
-        let now = board.clock.now();
-        let Some(asked) = self.asked else {
+    fn check(
+        &mut self,
+        exchanges: &Exchanges,
+        link: &OutgoingLink,
+        sender: &Sender,
+    ) -> Result<(), Error> {
+        let now = exchanges.clock.now();
+        let Some(pinged_at) = self.pinged_at else {
             let is_waiting = !link.streams().is_empty();
-            let quiet = if is_waiting { QUIET_WITH_REQUESTS } else { QUIET };
-            if now - self.heard >= quiet {
-                self.asked = Some(now);
+            let timeout_before_ping =
+                if is_waiting { BUSY_PING_TIMEOUT } else { IDLE_PING_TIMEOUT };
+            if now - self.last_received >= timeout_before_ping {
+                self.pinged_at = Some(now);
                 sender.send(&Head::Ping, &[]);
             }
             return Ok(());
         };
-        let waited = now - asked;
-        if waited >= LOST {
-            return Err(Error::Silent);
+        let since_ping = now - pinged_at;
+        if since_ping >= LOST_TIMEOUT {
+            return Err(Error::PingTimeout);
         }
-        if waited >= SILENT && !self.is_silent {
+        if since_ping >= SILENT_TIMEOUT && !self.is_silent {
             self.is_silent = true;
             let peer = link.announcement.node;
-            board.outbox.push(Event::LinkSilent { peer, silent: true });
+            exchanges.outbox.push(Event::LinkSilent { peer, silent: true });
         }
         Ok(())
     }
 }
 
-/// Takes a frame in.
-async fn receive(
-    board: &Arc<Exchanges>,
-    link: &Outgoing,
+/// Processes a received frame.
+async fn process_frame(
+    exchanges: &Arc<Exchanges>,
+    link: &OutgoingLink,
     sender: &Sender,
     head: Head,
     payload: Bytes,
 ) -> Result<(), Error> {
     let from = link.announcement.node;
     match head {
-        Head::Answer(answer) => {
-            board.outbox.push(Event::Load { from, load: answer.load.into() });
-            answered(board, link, answer, payload)?;
+        Head::Answer(response) => {
+            exchanges.outbox.push(Event::Load { from, load: response.load.into() });
+            receive_response(exchanges, link, response, payload)?;
         }
         Head::Refused(refused) => {
-            board.outbox.push(Event::Load { from, load: refused.load.into() });
+            exchanges.outbox.push(Event::Load { from, load: refused.load.into() });
             if let Some(stream) = link.streams().remove(&refused.stream) {
                 sender.stop_chunks(refused.stream);
                 let end = ForwardEnd::Refused(refused.refusal());
-                board.forward_ended(stream.ticket, end, refused.retries, None);
+                exchanges.forward_ended(stream.ticket, end, refused.retries, None);
             }
         }
-        Head::Chunk { stream, last } => chunk(board, link, stream, last, payload).await,
+        Head::Chunk { stream, last } => receive_chunk(exchanges, link, stream, last, payload).await,
         Head::Broken { stream } => {
             if let Some(stream) = link.streams().remove(&stream) {
-                board.forward_ended(stream.ticket, ForwardEnd::Broken, 0, None);
+                exchanges.forward_ended(stream.ticket, ForwardEnd::Broken, 0, None);
             }
         }
-        Head::Credit { stream } => sender.credited(stream),
-        Head::Load(load) => board.outbox.push(Event::Load { from, load: load.into() }),
+        Head::Credit { stream } => sender.add_credit(stream),
+        Head::Load(load) => exchanges.outbox.push(Event::Load { from, load: load.into() }),
         Head::Message(message) => {
             let message = message.try_into()?;
-            board.outbox.push(Event::Peer { from, message });
+            exchanges.outbox.push(Event::Peer { from, message });
         }
         Head::Ping => {
             sender.send(&Head::Pong, &[]);
         }
         Head::Pong => {}
-        Head::Hello(_) | Head::Request(_) | Head::Cancel(_) => return Err(Error::Unexpected),
+        Head::Hello(_) | Head::Request(_) | Head::Cancel(_) => return Err(Error::UnexpectedFrame),
     }
     Ok(())
 }
 
-fn answered(
-    board: &Arc<Exchanges>,
-    link: &Outgoing,
+fn receive_response(
+    exchanges: &Arc<Exchanges>,
+    link: &OutgoingLink,
     head: frame::Response,
     payload: Bytes,
 ) -> Result<(), Error> {
-    let (fields, whole) = frame::split(payload, head.fields)?;
+    let (header_lines, complete_body) = frame::split(payload, head.fields)?;
     let status = head.status;
     let mut streams = link.streams();
     let Some(stream) = streams.get_mut(&head.stream) else { return Ok(()) };
     let ticket = stream.ticket;
     let body = match head.body {
-        frame::Body::Whole => Body::Whole(whole),
+        frame::Body::Whole => Body::Complete(complete_body),
         frame::Body::Empty => Body::Empty,
         frame::Body::Chunks { length } => {
             let Some(sender) = link.sender() else { return Ok(()) };
-            let (writer, rest) = body::from_peer(sender, head.stream, length);
-            stream.answer = Some((writer, status));
+            let (writer, streamed) = body::from_peer(sender, head.stream, length);
+            stream.response = Some((writer, status));
             drop(streams);
-            board.pass_on(ticket, CallerResponse { status, fields, body: Body::Stream(rest) });
+            exchanges.stream_response(
+                ticket,
+                CallerResponse { status, header_lines, body: Body::Stream(streamed) },
+            );
             return Ok(());
         }
     };
     streams.remove(&head.stream);
     drop(streams);
-    let answer = CallerResponse { status, fields, body };
-    board.forward_ended(ticket, ForwardEnd::Answered { status }, head.retries, Some(answer));
+    let response = CallerResponse { status, header_lines, body };
+    exchanges.forward_ended(ticket, ForwardEnd::Answered { status }, head.retries, Some(response));
     Ok(())
 }
 
-/// Passes a piece of an answer on. The peer sends no more than there is room for.
-async fn chunk(board: &Exchanges, link: &Outgoing, name: u32, last: bool, bytes: Bytes) {
+/// Forwards a piece of a streamed response. The peer sends a piece only if it has a credit.
+async fn receive_chunk(
+    exchanges: &Exchanges,
+    link: &OutgoingLink,
+    stream_id: u32,
+    last: bool,
+    bytes: Bytes,
+) {
     let writer = {
         let streams = link.streams();
-        let stream = streams.get(&name);
-        stream.and_then(|stream| stream.answer.clone().map(|answer| (stream.ticket, answer)))
+        let stream = streams.get(&stream_id);
+        stream.and_then(|stream| stream.response.clone().map(|response| (stream.ticket, response)))
     };
     let Some((ticket, (writer, status))) = writer else { return };
     if !last {
         if writer.send(Piece::Data(bytes)).await.is_err() {
-            board.caller_gone(ticket);
+            exchanges.caller_gone(ticket);
         }
         return;
     }
-    link.streams().remove(&name);
-    // Whoever does not wait any more has been reported.
+    link.streams().remove(&stream_id);
+    // Fails if the caller has disconnected, which has been reported already.
     let _ = writer.send(Piece::End(bytes)).await;
-    board.forward_ended(ticket, ForwardEnd::Answered { status }, 0, None);
+    exchanges.forward_ended(ticket, ForwardEnd::Answered { status }, 0, None);
 }
 
-/// Ends all requests that the peer had as the connection ended. Those of which no byte was written
-/// were not sent.
-fn fail_streams(board: &Exchanges, link: &Outgoing, written: u64) {
+/// Ends all requests in progress when the connection has ended. A request counts as not sent if
+/// none of its bytes were written.
+fn fail_streams(exchanges: &Exchanges, link: &OutgoingLink, written: u64) {
     let streams = std::mem::take(&mut *link.streams());
     for stream in streams.into_values() {
-        let was_sent = stream.starts_at < written;
+        let was_sent = stream.frame_offset < written;
         let end = if was_sent { ForwardEnd::Broken } else { ForwardEnd::NotSent };
-        board.forward_ended(stream.ticket, end, 0, None);
+        exchanges.forward_ended(stream.ticket, end, 0, None);
     }
 }
 
-/// Asks whoever is at an address who it is, again and again, and tells the control thread.
-pub(in crate::traffic) async fn find(board: &Exchanges, seed: SocketAddr) {
+/// Queries a seed address periodically and reports the node that replies to the control thread.
+pub(in crate::traffic) async fn query_seed(exchanges: &Exchanges, seed: SocketAddr) {
     loop {
-        let asked = time::timeout(CONNECT_TIMEOUT, ask(board, seed)).await;
-        if let Ok(Ok(announcement)) = asked {
-            board.outbox.push(Event::PeerSeen(announcement));
+        let reply = time::timeout(CONNECT_TIMEOUT, query(exchanges, seed)).await;
+        if let Ok(Ok(announcement)) = reply {
+            exchanges.outbox.push(Event::PeerSeen(announcement));
         }
-        time::sleep(SEEK_PERIOD).await;
+        time::sleep(SEED_QUERY_INTERVAL).await;
     }
 }
 
-async fn ask(board: &Exchanges, seed: SocketAddr) -> Result<Announcement, Error> {
+async fn query(exchanges: &Exchanges, seed: SocketAddr) -> Result<Announcement, Error> {
     let mut wire = Wire::new(TcpStream::connect(seed).await?)?;
-    let credentials = &board.links.credentials;
-    wire.greet(credentials.hello(None, Revision(board.load().revision))).await?;
-    let hello = wire.greeted().await?;
+    let credentials = &exchanges.links.credentials;
+    wire.send_hello(credentials.hello(None, Revision(exchanges.load().revision))).await?;
+    let hello = wire.receive_hello().await?;
     if hello.credential() != credentials.fleet {
         return Err(Error::Credential);
     }
     let announcement: Result<Announcement, _> = hello.announcement.try_into();
-    announcement.map_err(|_| Error::Unexpected)
+    announcement.map_err(|_| Error::UnexpectedFrame)
 }
--- a/crates/mustardpin-node/src/traffic/link/wire.rs
+++ b/crates/mustardpin-node/src/traffic/link/wire.rs
@@ -1,4 +1,4 @@
-//! Bytes of a connection between nodes: frames in and out.
+//! Frame input and output of a connection between nodes.
 
 use std::{io, time::Duration};
 
@@ -13,49 +13,50 @@
 
 use crate::traffic::sender::Sender;
 
-/// How much is read at once, in bytes.
+/// The number of bytes reserved for each read.
 const READ_BYTES: usize = 16 * 1024;
-/// Bytes that were sent and not acknowledged for this long end the connection.
+/// The connection ends if sent bytes stay unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-/// The first keep-alive probe on a quiet connection, and the time between two.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// How long a connection is idle before the first TCP keep-alive probe, and the interval between
+/// probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a connection between nodes ended, or was not made.
+/// Why a connection between nodes failed or could not be made.
 #[derive(Debug)]
 #[derive(Display, Error, From)]
 pub(super) enum Error {
-    /// The connection could not be made, or broke.
+    /// An I/O error, while connecting or later.
     #[display("the connection could not be made, or broke")]
     Io(io::Error),
-    /// The other side took too long.
+    /// The peer did not complete the connection in time.
     #[display("the other side took too long")]
     Timeout(tokio::time::error::Elapsed),
-    /// The other side sent something that is no frame.
+    /// The peer sent a malformed frame.
     #[display("the other side sent something that is no frame")]
     Frame(frame::Error),
-    /// The other side sent a message that cannot be read.
+    /// The peer sent a malformed message.
     #[display("the other side sent a message that cannot be read")]
     Message(mustardpin_wire::message::Error),
-    /// The other side sent a frame that has no place here.
+    /// The peer sent a frame that is not valid in this state.
     #[display("the other side sent a frame that has no place here")]
     #[from(skip)]
-    Unexpected,
-    /// The other side does not have the fleet's credential, or speaks another version.
+    UnexpectedFrame,
+    /// The peer has a wrong fleet credential or another protocol version.
     #[display("the other side does not have the fleet's credential, or speaks another version")]
     #[from(skip)]
     Credential,
-    /// Another node is there than the one that is wanted.
+    /// The node at the other end is not the expected one.
     #[display("another node is there than the one that is wanted")]
     #[from(skip)]
-    Destination,
-    /// The other side has stopped answering.
+    WrongNode,
+    /// The peer stopped responding to pings.
     #[display("the other side has stopped answering")]
     #[from(skip)]
-    Silent,
-    /// This side does not want the connection any more.
+    PingTimeout,
+    /// The connection was closed by this node.
     #[display("the connection is not wanted any more")]
     #[from(skip)]
-    GivenUp,
+    Closed,
 }
 
 /// A connection between nodes.
@@ -64,7 +65,7 @@
     buffer: BytesMut,
     out: Vec<u8>,
     written: usize,
-    /// How many bytes have been written since the connection was made.
+    /// The number of bytes written since the connection was made, without the hello frame.
     pub(super) total_written: u64,
 }
 
@@ -73,37 +74,38 @@
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
         socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
-        let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE);
+        let keepalive =
+            TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
         socket.set_tcp_keepalive(&keepalive)?;
         let buffer = BytesMut::new();
         Ok(Wire { stream, buffer, out: Vec::new(), written: 0, total_written: 0 })
     }
 
-    /// Writes the first frame. Its bytes do not count among those of the sender.
-    pub(super) async fn greet(&mut self, hello: Hello) -> Result<(), Error> {
+    /// Writes the hello frame. Its bytes are not part of the sender's byte offsets.
+    pub(super) async fn send_hello(&mut self, hello: Hello) -> Result<(), Error> {
         let mut out = Vec::new();
         frame::write(&mut out, &Head::Hello(hello), &[])?;
         self.stream.write_all(&out).await?;
         Ok(())
     }
 
-    /// Reads the first frame.
-    pub(super) async fn greeted(&mut self) -> Result<Hello, Error> {
+    /// Reads the peer's hello frame.
+    pub(super) async fn receive_hello(&mut self) -> Result<Hello, Error> {
         loop {
             match self.take()? {
                 Some((Head::Hello(hello), _)) => return Ok(hello),
-                Some(_) => return Err(Error::Unexpected),
+                Some(_) => return Err(Error::UnexpectedFrame),
                 None => self.read().await?,
             }
         }
     }
 
-    /// The next frame that has been read in full.
+    /// Takes the next complete frame from the read buffer.
     pub(super) fn take(&mut self) -> Result<Option<(Head, bytes::Bytes)>, Error> {
         Ok(frame::take(&mut self.buffer)?)
     }
 
-    /// Reads more.
+    /// Reads more bytes into the buffer.
     pub(super) async fn read(&mut self) -> Result<(), Error> {
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(&mut self.buffer).await? {
@@ -112,11 +114,11 @@
         }
     }
 
-    /// Reads more or writes what a sender has queued, whichever is possible first. Returns whether
-    /// anything was read.
+    /// Reads bytes or writes queued frames, whichever is possible first. Returns whether bytes were
+    /// read.
     pub(super) async fn advance(&mut self, sender: &Sender) -> Result<bool, Error> {
         self.write(sender)?;
-        let is_stuck = self.written < self.out.len();
+        let is_write_blocked = self.written < self.out.len();
         self.buffer.reserve(READ_BYTES);
         let (mut reader, writer) = self.stream.split();
         tokio::select! {
@@ -124,12 +126,12 @@
                 0 => Err(Error::Io(io::ErrorKind::UnexpectedEof.into())),
                 _ => Ok(true),
             },
-            () = sender.queued(), if !is_stuck => Ok(false),
-            ready = writer.writable(), if is_stuck => Ok(ready.map(|()| false)?),
+            () = sender.queued(), if !is_write_blocked => Ok(false),
+            ready = writer.writable(), if is_write_blocked => Ok(ready.map(|()| false)?),
         }
     }
 
-    /// Writes as much as the connection takes.
+    /// Writes as much as the socket accepts.
     pub(super) fn write(&mut self, sender: &Sender) -> Result<(), Error> {
         loop {
             if self.written == self.out.len() {
--- a/crates/mustardpin-node/src/traffic/listener.rs
+++ b/crates/mustardpin-node/src/traffic/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections in, and lets them end when the node leaves.
+//! Accepts connections, and closes the listeners at shutdown.
 
 use std::sync::Arc;
 
@@ -13,48 +13,48 @@
 
 use crate::traffic::{ACCEPT_BACKOFF, caller, exchanges::Exchanges, link};
 
-/// How far the process has come on its way out.
+/// The stage of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Stage {
-    /// It is not leaving.
+    /// The process is not shutting down.
     #[default]
     Serving,
-    /// It is leaving and finishes what it has.
+    /// The process is draining: it finishes the requests in progress.
     Leaving,
-    /// It has finished everything.
+    /// All requests have finished and the process is about to exit.
     Exiting,
 }
 
-/// Who connects to a listener.
+/// The kind of clients that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// Callers.
+    /// Callers of the fleet's services.
     Callers,
-    /// The node's own target, with its calls and its reports.
+    /// The local target, which sends calls and reports.
     Local,
-    /// The node's own target, with its reports only.
+    /// The local target, which sends only reports.
     Reports,
-    /// Whoever asks whether the node is ready.
+    /// Clients that check the readiness of the node.
     Readiness,
-    /// Peers, which have to show the fleet's credential.
+    /// Peers, which must present the fleet's credential.
     Peers,
 }
 
-/// Takes connections in until the runtime ends or the node has left.
+/// Accepts connections until the runtime ends or the node exits.
 ///
-/// Then the port is closed, and those who had connected by that time are still served: a connection
-/// left in the listener's queue would break with its request on the way.
+/// The listener is then closed. Connections that are already in its queue are still served:
+/// otherwise they would be reset with their requests in transit.
 pub async fn serve(
     listener: TcpListener,
-    door: ListenerKind,
-    board: Arc<Exchanges>,
+    kind: ListenerKind,
+    exchanges: Arc<Exchanges>,
     connections: TaskTracker,
 ) {
-    let mut stage = board.stage();
-    let entrance = Entrance {
-        door,
-        permits: Arc::new(Semaphore::new(board.limits.connections)),
-        board,
+    let mut stage = exchanges.stage();
+    let acceptor = Acceptor {
+        kind,
+        permits: Arc::new(Semaphore::new(exchanges.limits.connections)),
+        exchanges,
         connections,
     };
     loop {
@@ -63,39 +63,39 @@
             _ = stage.wait_for(|stage| *stage == Stage::Exiting) => break,
         };
         match accepted {
-            Ok((stream, _)) => entrance.open(stream),
+            Ok((stream, _)) => acceptor.accept(stream),
             Err(_) => time::sleep(ACCEPT_BACKOFF).await,
         }
     }
     while let Some(Ok((stream, _))) = listener.accept().now_or_never() {
-        entrance.open(stream);
+        acceptor.accept(stream);
     }
 }
 
-/// What new connections of a listener have in common.
-struct Entrance {
-    door: ListenerKind,
+/// The state shared by all connections of a listener.
+struct Acceptor {
+    kind: ListenerKind,
     permits: Arc<Semaphore>,
-    board: Arc<Exchanges>,
+    exchanges: Arc<Exchanges>,
     connections: TaskTracker,
 }
 
-impl Entrance {
-    /// Serves a connection in a task of its own. One connection too many is closed at once.
-    fn open(&self, stream: TcpStream) {
+impl Acceptor {
+    /// Serves a connection in its own task. A connection above the limit is closed immediately.
+    fn accept(&self, stream: TcpStream) {
         let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else { return };
-        let (board, door) = (Arc::clone(&self.board), self.door);
-        if door == ListenerKind::Peers {
-            // Links last as long as the process; a leaving node does not wait for them.
+        let (exchanges, kind) = (Arc::clone(&self.exchanges), self.kind);
+        if kind == ListenerKind::Peers {
+            // Peer links stay open until the process ends; a draining node does not wait for them.
             tokio::spawn(async move {
-                link::accept(board, stream).await;
+                link::accept(exchanges, stream).await;
                 drop(permit);
             });
             return;
         }
-        let stage: watch::Receiver<Stage> = board.stage();
+        let stage: watch::Receiver<Stage> = exchanges.stage();
         self.connections.spawn(async move {
-            caller::serve(board, door, stream, stage).await;
+            caller::serve(exchanges, kind, stream, stage).await;
             drop(permit);
         });
     }
--- a/crates/mustardpin-node/src/traffic/outbox.rs
+++ b/crates/mustardpin-node/src/traffic/outbox.rs
@@ -1,7 +1,7 @@
-//! Events on their way to the control thread, handed over in batches.
+//! Queues events for the control thread and sends them in batches.
 //!
-//! The tasks that are ready in one turn of the event loop add their events first; the task that
-//! hands them over was woken by the first of them and runs after the others.
+//! Tasks that are ready in the same iteration of the event loop add their events before the sending
+//! task runs: the first event wakes it, so it is scheduled after the others.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -10,10 +10,11 @@
 
 use crate::control::Handle;
 
-/// So many events are handed over at once, without waiting for the end of the turn.
+/// The number of queued events at which they are sent immediately, without waiting for the end of
+/// the event loop's iteration.
 const MAX_BATCH: usize = 128;
 
-/// Events on their way to the control thread.
+/// The queue of events for the control thread.
 pub(super) struct Outbox {
     control: Handle,
     events: Mutex<Vec<Event>>,
@@ -21,12 +22,12 @@
 }
 
 impl Outbox {
-    /// An empty outbox.
+    /// Creates an empty outbox.
     pub(super) fn new(control: Handle) -> Outbox {
         Outbox { control, events: Mutex::default(), added: Notify::new() }
     }
 
-    /// Adds an event.
+    /// Queues an event.
     pub(super) fn push(&self, event: Event) {
         let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         events.push(event);
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Hands events over until the runtime ends.
-    pub(super) async fn hand_over(&self) {
+    /// Sends queued events until the runtime ends.
+    pub(super) async fn send_batches(&self) {
         loop {
             self.added.notified().await;
             let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/mustardpin-node/src/traffic/sender.rs
+++ b/crates/mustardpin-node/src/traffic/sender.rs
@@ -1,5 +1,5 @@
-//! The sending side of a connection between nodes: frames queue here until the connection's task
-//! writes them.
+//! The sending side of a connection between nodes: frames are queued here until the connection's
+//! task writes them.
 
 use std::{
     collections::HashMap,
@@ -19,13 +19,14 @@
     response::CallerResponse,
 };
 
-/// A connection whose peer has not read so many bytes is given up.
+/// The maximum number of unwritten bytes at which frames are still queued for a slow peer. Above
+/// it, further frames are dropped.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 
 #[derive(Debug, Default)]
 struct Queue {
     bytes: Vec<u8>,
-    /// How many bytes have been queued since the connection was made.
+    /// The number of bytes queued since the connection was made.
     total: u64,
 }
 
@@ -33,80 +34,81 @@
 #[derive(Debug, Default)]
 pub(super) struct Sender {
     queue: Mutex<Queue>,
-    /// Room for chunks of the bodies that this side sends.
+    /// Credits for body chunks that this side may send, by stream id.
     credits: Mutex<HashMap<u32, Arc<Semaphore>>>,
-    /// Requests that came over the connection and have no answer yet.
-    open: Mutex<HashMap<u32, Ticket>>,
+    /// Requests received over the connection that have no response yet, by stream id.
+    open_requests: Mutex<HashMap<u32, Ticket>>,
     queued: Notify,
     is_closed: AtomicBool,
 }
 
 impl Sender {
-    /// Queues a frame. Returns where it starts in the bytes of the connection.
+    /// Queues a frame. Returns its byte offset in the connection's output, or `None` if the frame
+    /// was not queued.
     pub(super) fn send(&self, head: &Head, payload: &[&[u8]]) -> Option<u64> {
         let mut queue = self.queue();
         if self.is_closed.load(Ordering::Relaxed) || queue.bytes.len() > MAX_QUEUED_BYTES {
             return None;
         }
-        let (start, before) = (queue.total, queue.bytes.len());
+        let (start, queued_bytes) = (queue.total, queue.bytes.len());
         frame::write(&mut queue.bytes, head, payload).ok()?;
-        queue.total += (queue.bytes.len() - before) as u64;
+        queue.total += (queue.bytes.len() - queued_bytes) as u64;
         drop(queue);
-        if before == 0 {
+        if queued_bytes == 0 {
             self.queued.notify_one();
         }
         Some(start)
     }
 
-    /// A request has come over the connection.
-    pub(super) fn opened(&self, stream: u32, ticket: Ticket) {
-        self.open().insert(stream, ticket);
+    /// Adds a request that was received over the connection.
+    pub(super) fn add_request(&self, stream: u32, ticket: Ticket) {
+        self.open_requests().insert(stream, ticket);
     }
 
-    /// A request has its answer, or needs none any more.
-    pub(super) fn answered(&self, stream: u32) -> Option<Ticket> {
-        self.open().remove(&stream)
+    /// Removes a request that has its response or was cancelled.
+    pub(super) fn remove_request(&self, stream: u32) -> Option<Ticket> {
+        self.open_requests().remove(&stream)
     }
 
-    /// Queues a refusal in place of an answer.
+    /// Queues a refusal instead of a response.
     pub(super) fn refuse(&self, stream: u32, refusal: &Refusal, retries: u32, load: LoadReport) {
-        self.answered(stream);
+        self.remove_request(stream);
         let refused = frame::Refused::new(stream, refusal, retries, load);
         self.send(&Head::Refused(refused), &[]);
     }
 
-    /// Queues an answer. A body that is still coming follows in a task of its own.
-    pub(super) fn answer(
+    /// Queues a response. A streamed body is sent by a separate task.
+    pub(super) fn respond(
         self: &Arc<Sender>,
         stream: u32,
-        answer: CallerResponse,
+        response: CallerResponse,
         retries: u32,
         load: LoadReport,
     ) {
-        self.answered(stream);
-        let CallerResponse { status, fields, body } = answer;
-        let (whole, rest, kind) = match body {
+        self.remove_request(stream);
+        let CallerResponse { status, header_lines, body } = response;
+        let (complete_body, streamed, kind) = match body {
             Body::Empty => (Bytes::new(), None, frame::Body::Empty),
-            Body::Whole(bytes) => (bytes, None, frame::Body::Whole),
-            Body::Stream(rest) => {
-                let kind = frame::Body::Chunks { length: rest.length };
-                (Bytes::new(), Some(rest), kind)
+            Body::Complete(bytes) => (bytes, None, frame::Body::Whole),
+            Body::Stream(streamed) => {
+                let kind = frame::Body::Chunks { length: streamed.length };
+                (Bytes::new(), Some(streamed), kind)
             }
         };
-        let length = fields.len() as u32;
+        let length = header_lines.len() as u32;
         let head = frame::Response { stream, status, retries, load, fields: length, body: kind };
-        self.send(&Head::Answer(head), &[&fields, &whole]);
-        if let Some(rest) = rest {
-            tokio::spawn(Arc::clone(self).send_chunks(stream, rest));
+        self.send(&Head::Answer(head), &[&header_lines, &complete_body]);
+        if let Some(streamed) = streamed {
+            tokio::spawn(Arc::clone(self).send_chunks(stream, streamed));
         }
     }
 
-    /// Sends the rest of a body as there is room for it.
-    pub(super) async fn send_chunks(self: Arc<Sender>, stream: u32, mut rest: Stream) {
-        let credits = Arc::new(Semaphore::new(body::MAX_WAITING));
+    /// Sends the rest of a body, one chunk for each credit.
+    pub(super) async fn send_chunks(self: Arc<Sender>, stream: u32, mut streamed: Stream) {
+        let credits = Arc::new(Semaphore::new(body::MAX_QUEUED_PIECES));
         self.credits().insert(stream, Arc::clone(&credits));
         loop {
-            match rest.next().await {
+            match streamed.next().await {
                 Some(Piece::Data(bytes)) => {
                     let Ok(credit) = credits.acquire().await else { break };
                     credit.forget();
@@ -125,47 +127,48 @@
         self.credits().remove(&stream);
     }
 
-    /// Tells the other side that there is room for one more chunk.
-    pub(super) fn credit(&self, stream: u32) {
+    /// Grants the peer a credit for one more chunk.
+    pub(super) fn send_credit(&self, stream: u32) {
         self.send(&Head::Credit { stream }, &[]);
     }
 
-    /// The other side has room for one more chunk.
-    pub(super) fn credited(&self, stream: u32) {
+    /// Adds a credit that the peer has granted.
+    pub(super) fn add_credit(&self, stream: u32) {
         if let Some(credits) = self.credits().get(&stream) {
             credits.add_permits(1);
         }
     }
 
-    /// The other side does not want the rest of a body any more.
+    /// Stops sending a body that the peer no longer needs.
     pub(super) fn stop_chunks(&self, stream: u32) {
         if let Some(credits) = self.credits().remove(&stream) {
             credits.close();
         }
     }
 
-    /// Takes what has been queued.
+    /// Moves the queued bytes into an empty buffer.
     pub(super) fn take(&self, into: &mut Vec<u8>) {
         std::mem::swap(&mut self.queue().bytes, into);
     }
 
-    /// Returns once something has been queued.
+    /// Returns once frames have been queued.
     pub(super) async fn queued(&self) {
         self.queued.notified().await;
     }
 
-    /// The connection has ended. Returns the requests that came over it and have no answer.
+    /// Closes the sender after the connection has ended. Returns the requests received over it that
+    /// have no response.
     pub(super) fn close(&self) -> Vec<Ticket> {
         self.is_closed.store(true, Ordering::Relaxed);
         self.queue().bytes = Vec::new();
         for (_, credits) in self.credits().drain() {
             credits.close();
         }
-        self.open().drain().map(|(_, ticket)| ticket).collect()
+        self.open_requests().drain().map(|(_, ticket)| ticket).collect()
     }
 
-    fn open(&self) -> MutexGuard<'_, HashMap<u32, Ticket>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn open_requests(&self) -> MutexGuard<'_, HashMap<u32, Ticket>> {
+        self.open_requests.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn queue(&self) -> MutexGuard<'_, Queue> {
--- a/crates/mustardpin-node/src/traffic/target.rs
+++ b/crates/mustardpin-node/src/traffic/target.rs
@@ -1,4 +1,4 @@
-//! Runs requests on the own target: HTTP/1.1, one request at a time on each connection.
+//! Runs requests on the local target over HTTP/1.1, without pipelining.
 
 mod connection;
 mod run;
@@ -16,60 +16,62 @@
 
 pub(super) use self::run::run;
 
-/// Idle connections to the target at most.
-const MAX_IDLE: usize = 512;
-/// A connection that has been idle for this long is not used again, unless the target has said how
-/// long it keeps idle connections.
+/// The maximum number of idle connections to the target.
+const MAX_IDLE_CONNECTIONS: usize = 512;
+/// A connection that has been idle for this long is not reused. A shorter `keep-alive` timeout of
+/// the target takes precedence.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(8);
-/// A connection that has been idle for this long may have been closed by the target without a sign
-/// yet. A request that may not be sent twice is not sent over it.
+/// A connection that has been idle for this long may have been closed by the target without this
+/// node having noticed. Requests that must not be sent twice are not sent over it.
 const MAX_IDLE_AGE_UNREPEATABLE: Duration = Duration::from_millis(1_000);
 
-/// Where the target is, and the connections to it.
+/// The target's address and the idle connections to it.
 #[derive(Default)]
 struct State {
-    place: Option<(SocketAddr, CompactString)>,
-    /// Grows when the target is another one, so that connections to the one before are not kept.
+    endpoint: Option<(SocketAddr, CompactString)>,
+    /// Incremented when the target changes, so that connections to the previous target are not
+    /// reused.
     generation: u64,
     idle: Vec<Connection>,
 }
 
-/// The client to the own target.
+/// The client for the local target.
 #[derive(Default)]
 pub(super) struct Target {
     state: Mutex<State>,
 }
 
-/// The place of the target at one moment.
+/// The address of the target at one moment.
 #[derive(Debug, Clone)]
-struct Place {
+struct Endpoint {
     address: SocketAddr,
     instance: CompactString,
     generation: u64,
 }
 
 impl Target {
-    /// A client that knows no target yet.
+    /// Creates a client without a target.
     pub(super) fn new() -> Target {
         Target::default()
     }
 
-    /// From now on the target is here, or nowhere.
-    pub(super) fn set(&self, place: Option<TargetAddress>) {
-        let place = place.and_then(|place| Some((place.address.parse().ok()?, place.instance)));
+    /// Sets the address of the target; `None` if there is no target.
+    pub(super) fn set(&self, endpoint: Option<TargetAddress>) {
+        let endpoint =
+            endpoint.and_then(|endpoint| Some((endpoint.address.parse().ok()?, endpoint.instance)));
         let mut state = self.state();
         state.generation += 1;
-        state.place = place;
+        state.endpoint = endpoint;
         state.idle.clear();
     }
 
-    fn place(&self) -> Option<Place> {
+    fn endpoint(&self) -> Option<Endpoint> {
         let state = self.state();
-        let (address, instance) = state.place.clone()?;
-        Some(Place { address, instance, generation: state.generation })
+        let (address, instance) = state.endpoint.clone()?;
+        Some(Endpoint { address, instance, generation: state.generation })
     }
 
-    /// An idle connection that may be used for the next request.
+    /// Takes an idle connection that can be used for the next request.
     fn take_idle(&self, generation: u64, repeatable: bool) -> Option<Connection> {
         let mut state = self.state();
         if state.generation != generation {
@@ -77,8 +79,8 @@
         }
         while let Some(connection) = state.idle.pop() {
             let age = connection.idle_since.elapsed();
-            if age >= connection.keep_for {
-                // The ones below it have been idle for longer.
+            if age >= connection.max_idle_age {
+                // The remaining connections have been idle for longer.
                 state.idle.clear();
                 return None;
             }
@@ -86,18 +88,18 @@
                 state.idle.push(connection);
                 return None;
             }
-            if connection.is_quiet() {
+            if connection.is_reusable() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer has come to its end.
-    fn keep(&self, mut connection: Connection) {
+    /// Keeps a connection for reuse after its response has ended.
+    fn release(&self, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let mut state = self.state();
-        if state.generation == connection.generation && state.idle.len() < MAX_IDLE {
+        if state.generation == connection.generation && state.idle.len() < MAX_IDLE_CONNECTIONS {
             state.idle.push(connection);
         }
     }
--- a/crates/mustardpin-node/src/traffic/target/connection.rs
+++ b/crates/mustardpin-node/src/traffic/target/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the own target.
+//! A connection to the local target.
 
 use std::{
     io,
@@ -9,53 +9,53 @@
 use mustardpin_http::Headers;
 use tokio::net::TcpStream;
 
-use crate::traffic::target::{MAX_IDLE_AGE, Place};
+use crate::traffic::target::{Endpoint, MAX_IDLE_AGE};
 
-/// A connection is given up this much before the target would close it.
+/// A connection is discarded this long before the target would close it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// A connection to the own target.
+/// A connection to the local target.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) buffer: BytesMut,
     pub(super) generation: u64,
     pub(super) idle_since: Instant,
-    /// How long it may be idle before it is not used again.
-    pub(super) keep_for: Duration,
+    /// The maximum idle time at which the connection is still reused.
+    pub(super) max_idle_age: Duration,
 }
 
 impl Connection {
     /// Connects to the target.
-    pub(super) async fn open(place: &Place) -> io::Result<Connection> {
-        let stream = TcpStream::connect(place.address).await?;
+    pub(super) async fn open(endpoint: &Endpoint) -> io::Result<Connection> {
+        let stream = TcpStream::connect(endpoint.address).await?;
         stream.set_nodelay(true)?;
         Ok(Connection {
             stream,
             buffer: BytesMut::new(),
-            generation: place.generation,
+            generation: endpoint.generation,
             idle_since: Instant::now(),
-            keep_for: MAX_IDLE_AGE,
+            max_idle_age: MAX_IDLE_AGE,
         })
     }
 
-    /// Whether there is nothing to read: an answer that nobody asked for would be taken for the
-    /// answer to the next request, and the end of the connection is the end of it.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// Whether the connection is open and has nothing to read. Unsolicited bytes would be taken for
+    /// the response to the next request.
+    pub(super) fn is_reusable(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         self.buffer.is_empty() && read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Takes in how long the target keeps the connection.
-    pub(super) fn note_keep_alive(&mut self, headers: &Headers) {
+    /// Applies the timeout of the target's `keep-alive` header.
+    pub(super) fn apply_keep_alive(&mut self, headers: &Headers) {
         let Some(text) = headers.text("keep-alive") else { return };
         let parameters = text.split(',').filter_map(|part| part.trim().split_once('='));
         let timeout = parameters
             .filter(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"))
             .find_map(|(_, value)| value.trim().parse().ok());
         if let Some(seconds) = timeout {
-            let kept = Duration::from_secs(seconds);
-            self.keep_for = kept.saturating_sub(KEEP_ALIVE_MARGIN).min(MAX_IDLE_AGE);
+            let timeout = Duration::from_secs(seconds);
+            self.max_idle_age = timeout.saturating_sub(KEEP_ALIVE_MARGIN).min(MAX_IDLE_AGE);
         }
     }
 }
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -1,4 +1,4 @@
-//! One run of a request on the own target.
+//! Runs one request on the local target.
 
 use std::{io, sync::Arc};
 
@@ -29,56 +29,57 @@
     exchange::{Outbound, Payload},
     exchanges::Exchanges,
     response::CallerResponse,
-    target::{Place, connection::Connection},
+    target::{Endpoint, connection::Connection},
 };
 
-/// How much is read at once, in bytes.
+/// The number of bytes reserved for each read.
 const READ_BYTES: usize = 8 * 1024;
-/// The largest head of an answer, in bytes.
+/// The maximum size of a response head in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Answers up to this size go on once they are whole, so that one that breaks can be replaced by
-/// another. Larger ones go on as they come.
-const HELD_BYTES: usize = 256 * 1024;
+/// Responses up to this size in bytes are sent on only when complete, so that a truncated one can
+/// be replaced by that of a retry. Larger responses are streamed.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// A connection that had been idle and ends this soon after a request was written to it had been
-/// closed by the target before, which then has not read the request.
-const STALE_WITHIN: Millis = Millis(10);
+/// If a reused connection ends this soon after a request was written, the target had closed the
+/// connection before and has not read the request.
+const STALE_CONNECTION_WINDOW: Millis = Millis(10);
 
-/// Why there is no whole answer.
+/// Why there is no complete response.
 #[derive(Debug)]
 #[derive(Display, Error, From)]
 enum Failure {
-    /// The connection broke.
+    /// The connection failed.
     #[display("the connection broke")]
     Io(io::Error),
-    /// The answer is malformed.
+    /// The response is malformed.
     #[display("the answer is malformed")]
     Malformed(mustardpin_http::Error),
-    /// The answer cannot be passed on.
+    /// The dialect rejected the response.
     #[display("{_0}")]
     #[from(skip)]
     Unusable(#[error(not(source))] &'static str),
-    /// Nobody waits for the answer any more.
+    /// The caller disconnected, or its request body was truncated.
     #[display("nobody waits for the answer any more")]
     #[from(skip)]
     Abandoned,
 }
 
-/// How a run ended.
+/// The result of a run.
 struct Outcome {
     end: RunEnd,
-    answer: Option<CallerResponse>,
+    response: Option<CallerResponse>,
 }
 
 impl From<RunEnd> for Outcome {
     fn from(end: RunEnd) -> Outcome {
-        Outcome { end, answer: None }
+        Outcome { end, response: None }
     }
 }
 
-/// Runs a request, and tells the board how it ended. The run stops when `stop` does.
+/// Runs a request and reports the result to `Exchanges`. The run is cancelled when the sender of
+/// `stop` is dropped.
 pub(in crate::traffic) async fn run(
-    board: Arc<Exchanges>,
+    exchanges: Arc<Exchanges>,
     run: Run,
     request: Arc<Outbound>,
     mut stop: oneshot::Receiver<()>,
@@ -86,139 +87,141 @@
     let ticket = run.ticket;
     let outcome = select! {
         biased;
-        outcome = attempt(&board, &run, &request) => outcome,
+        outcome = attempt(&exchanges, &run, &request) => outcome,
         _ = &mut stop => RunEnd::Cancelled.into(),
     };
-    board.run_ended(ticket, outcome.end, outcome.answer);
+    exchanges.run_ended(ticket, outcome.end, outcome.response);
 }
 
-async fn attempt(board: &Arc<Exchanges>, run: &Run, request: &Outbound) -> Outcome {
-    let Some(place) = board.target.place() else { return RunEnd::NotSent.into() };
-    let (whole, mut rest) = match request.payload() {
-        Payload::Whole(bytes) => (bytes, None),
-        Payload::Stream(rest) => (Bytes::new(), Some(rest)),
-        Payload::Gone => return RunEnd::Broken.into(),
+async fn attempt(exchanges: &Arc<Exchanges>, run: &Run, request: &Outbound) -> Outcome {
+    let Some(endpoint) = exchanges.target.endpoint() else { return RunEnd::NotSent.into() };
+    let (complete_body, mut streamed) = match request.payload() {
+        Payload::Complete(bytes) => (bytes, None),
+        Payload::Stream(streamed) => (Bytes::new(), Some(streamed)),
+        Payload::Consumed => return RunEnd::Broken.into(),
     };
-    let kind = match &rest {
-        None => Kind::Whole(&whole),
-        Some(rest) => rest.length.map_or(Kind::Chunks, Kind::Length),
+    let kind = match &streamed {
+        None => BodyFraming::Complete(&complete_body),
+        Some(streamed) => streamed.length.map_or(BodyFraming::Chunked, BodyFraming::Length),
     };
-    let out = encode(board, run, request, &place, kind);
-    while board.clock.now() < run.start_by
-        && let Some(connection) = board.target.take_idle(place.generation, run.repeatable)
+    let out = encode(exchanges, run, request, &endpoint, kind);
+    while exchanges.clock.now() < run.start_by
+        && let Some(connection) = exchanges.target.take_idle(endpoint.generation, run.repeatable)
     {
-        let mut exchange = Exchange::new(board, run, request, connection);
-        let end = exchange.carry(&out, &mut rest).await;
+        let mut exchange = TargetExchange::new(exchanges, run, request, connection);
+        let end = exchange.perform(&out, &mut streamed).await;
         match end {
             Err(_) if exchange.was_stale() => {}
-            end => return exchange.conclude(end),
+            end => return exchange.finish(end),
         }
     }
-    if board.clock.now() >= run.start_by {
+    if exchanges.clock.now() >= run.start_by {
         return RunEnd::NotSent.into();
     }
-    let Ok(connection) = Connection::open(&place).await else { return RunEnd::NotSent.into() };
-    let mut exchange = Exchange::new(board, run, request, connection);
-    let end = exchange.carry(&out, &mut rest).await;
-    exchange.conclude(end)
+    let Ok(connection) = Connection::open(&endpoint).await else { return RunEnd::NotSent.into() };
+    let mut exchange = TargetExchange::new(exchanges, run, request, connection);
+    let end = exchange.perform(&out, &mut streamed).await;
+    exchange.finish(end)
 }
 
-/// How the body of a request goes to the target.
+/// How the body of a request is framed.
 #[derive(Clone, Copy)]
-enum Kind<'a> {
-    /// With the head.
-    Whole(&'a [u8]),
-    /// In pieces, so many bytes together.
+enum BodyFraming<'a> {
+    /// Complete, and sent together with the head.
+    Complete(&'a [u8]),
+    /// Streamed, with this length in bytes.
     Length(u64),
-    /// In chunks.
-    Chunks,
+    /// Streamed with chunked transfer coding.
+    Chunked,
 }
 
-/// The request as it goes to the target; without its body if that is still coming.
+/// Encodes the request, without its body if that is streamed.
 fn encode(
-    board: &Exchanges,
+    exchanges: &Exchanges,
     run: &Run,
     request: &Outbound,
-    place: &Place,
-    body: Kind<'_>,
+    endpoint: &Endpoint,
+    body: BodyFraming<'_>,
 ) -> Vec<u8> {
-    let mut out = Vec::with_capacity(512 + request.fields.len());
+    let mut out = Vec::with_capacity(512 + request.header_lines.len());
     write::request_line(&mut out, &request.method, &request.target);
-    out.extend_from_slice(&request.fields);
+    out.extend_from_slice(&request.header_lines);
     if !request.is_from_peer {
-        let entry = EntryHeaders { caller_service: &board.service, team: run.team.as_deref() };
-        board.dialect.write_entry_headers(entry, &mut out);
+        let entry = EntryHeaders { caller_service: &exchanges.service, team: run.team.as_deref() };
+        exchanges.dialect.write_entry_headers(entry, &mut out);
     }
-    let left = run.deadline - board.clock.now();
-    let delivery = DeliveryHeaders { instance: &place.instance, token: run.token, left };
-    board.dialect.write_delivery_headers(delivery, &mut out);
+    let left = run.deadline - exchanges.clock.now();
+    let delivery = DeliveryHeaders { instance: &endpoint.instance, token: run.token, left };
+    exchanges.dialect.write_delivery_headers(delivery, &mut out);
     match body {
-        Kind::Chunks => write::field(&mut out, "transfer-encoding", b"chunked"),
-        Kind::Length(length) => write::number(&mut out, "content-length", length),
-        Kind::Whole([]) if matches!(&*request.method, "GET" | "HEAD" | "DELETE") => {}
-        Kind::Whole(bytes) => write::number(&mut out, "content-length", bytes.len() as u64),
+        BodyFraming::Chunked => write::field(&mut out, "transfer-encoding", b"chunked"),
+        BodyFraming::Length(length) => write::number(&mut out, "content-length", length),
+        BodyFraming::Complete([]) if matches!(&*request.method, "GET" | "HEAD" | "DELETE") => {}
+        BodyFraming::Complete(bytes) => {
+            write::number(&mut out, "content-length", bytes.len() as u64)
+        }
     }
     out.extend_from_slice(b"\r\n");
-    if let Kind::Whole(bytes) = body {
+    if let BodyFraming::Complete(bytes) = body {
         out.extend_from_slice(bytes);
     }
     out
 }
 
-/// The head of an answer that means something to the caller.
+/// The parts of a response head that are sent on or reported.
 struct Head {
     status: u16,
-    fields: Bytes,
+    header_lines: Bytes,
     load: Option<TargetLoad>,
 }
 
-/// A request on its way over one connection.
-struct Exchange<'a> {
-    board: &'a Arc<Exchanges>,
+/// A request and its response on one connection.
+struct TargetExchange<'a> {
+    exchanges: &'a Arc<Exchanges>,
     run: &'a Run,
     request: &'a Outbound,
     connection: Connection,
     begun: Millis,
-    /// How many bytes of the request the connection has taken.
+    /// The number of bytes of the encoded request that were written.
     written: usize,
-    /// Whether anything has come back.
+    /// Whether bytes of the response were received.
     has_read: bool,
-    may_keep: bool,
+    is_reusable: bool,
 }
 
-impl<'a> Exchange<'a> {
+impl<'a> TargetExchange<'a> {
     fn new(
-        board: &'a Arc<Exchanges>,
+        exchanges: &'a Arc<Exchanges>,
         run: &'a Run,
         request: &'a Outbound,
         connection: Connection,
-    ) -> Exchange<'a> {
-        let begun = board.clock.now();
-        Exchange {
-            board,
+    ) -> TargetExchange<'a> {
+        let begun = exchanges.clock.now();
+        TargetExchange {
+            exchanges,
             run,
             request,
             connection,
             begun,
             written: 0,
             has_read: false,
-            may_keep: false,
+            is_reusable: false,
         }
     }
 
-    /// Whether the target had closed the connection before the request came. Where that is not
-    /// certain, only requests count that may be sent again.
+    /// Whether the target had closed the connection before the request arrived. If that is
+    /// uncertain, it is assumed only for requests that may be sent again.
     fn was_stale(&self) -> bool {
-        let is_quick = self.board.clock.now() - self.begun <= STALE_WITHIN;
-        self.written == 0 || (self.run.repeatable && !self.has_read && is_quick)
+        let ended_early = self.exchanges.clock.now() - self.begun <= STALE_CONNECTION_WINDOW;
+        self.written == 0 || (self.run.repeatable && !self.has_read && ended_early)
     }
 
-    /// Ends the exchange. The connection is kept if it can be used again.
-    fn conclude(self, end: Result<Outcome, Failure>) -> Outcome {
+    /// Ends the exchange. Keeps the connection if it can be reused.
+    fn finish(self, end: Result<Outcome, Failure>) -> Outcome {
         match end {
             Ok(outcome) => {
-                if self.may_keep {
-                    self.board.target.keep(self.connection);
+                if self.is_reusable {
+                    self.exchanges.target.release(self.connection);
                 }
                 outcome
             }
@@ -227,11 +230,15 @@
         }
     }
 
-    /// Sends the request and reads the answer.
-    async fn carry(&mut self, out: &[u8], rest: &mut Option<Stream>) -> Result<Outcome, Failure> {
-        let in_chunks = rest.as_ref().is_some_and(|rest| rest.length.is_none());
-        let is_done = rest.is_none();
-        let mut sending = Sending { chunk: Vec::new(), sent: 0, in_chunks, is_done };
+    /// Sends the request and reads the response.
+    async fn perform(
+        &mut self,
+        out: &[u8],
+        streamed: &mut Option<Stream>,
+    ) -> Result<Outcome, Failure> {
+        let is_chunked = streamed.as_ref().is_some_and(|streamed| streamed.length.is_none());
+        let is_done = streamed.is_none();
+        let mut sending = Sending { chunk: Vec::new(), sent: 0, is_chunked, is_done };
         loop {
             let head = Response::take(&mut self.connection.buffer, MAX_HEAD_BYTES)?;
             if let Some(head) = head {
@@ -239,17 +246,17 @@
                     continue;
                 }
                 let is_sent = self.written >= out.len() && sending.is_done();
-                return self.answer(head, is_sent).await;
+                return self.receive_response(head, is_sent).await;
             }
-            self.advance(out, rest, &mut sending).await?;
+            self.advance(out, streamed, &mut sending).await?;
         }
     }
 
-    /// Reads more of the answer or sends more of the request, whichever is possible first.
+    /// Reads more of the response or sends more of the request, whichever is possible first.
     async fn advance(
         &mut self,
         out: &[u8],
-        rest: &mut Option<Stream>,
+        streamed: &mut Option<Stream>,
         sending: &mut Sending,
     ) -> Result<(), Failure> {
         let Connection { stream, buffer, .. } = &mut self.connection;
@@ -273,49 +280,57 @@
                 }
                 self.has_read = true;
             }
-            piece = next_piece(rest), if !has_unsent && !sending.is_done => {
+            piece = next_piece(streamed), if !has_unsent && !sending.is_done => {
                 sending.load(piece.ok_or(Failure::Abandoned)?);
             }
         }
         Ok(())
     }
 
-    /// Takes an answer in whose head has come.
-    async fn answer(&mut self, head: Response, is_sent: bool) -> Result<Outcome, Failure> {
-        let meaning = self.board.dialect.read_response(&self.request.id, &head);
+    /// Processes a response whose head has been received.
+    async fn receive_response(
+        &mut self,
+        head: Response,
+        is_sent: bool,
+    ) -> Result<Outcome, Failure> {
+        let response_kind = self.exchanges.dialect.read_response(&self.request.id, &head);
         let framing = Framing::of_response(&self.request.method, head.status, &head.headers)?;
-        self.connection.note_keep_alive(&head.headers);
-        let may_keep = is_sent && head.is_persistent() && framing != Framing::UntilClose;
-        let load = match meaning {
-            ResponseKind::Unusable(problem) => return Err(Failure::Unusable(problem)),
+        self.connection.apply_keep_alive(&head.headers);
+        let is_reusable = is_sent && head.is_persistent() && framing != Framing::UntilClose;
+        let load = match response_kind {
+            ResponseKind::Unusable(error) => return Err(Failure::Unusable(error)),
             ResponseKind::Declined => {
-                self.may_keep = may_keep && self.skip_body(framing).await;
+                self.is_reusable = is_reusable && self.skip_body(framing).await;
                 return Ok(RunEnd::Declined.into());
             }
             ResponseKind::Misdirected => return Ok(RunEnd::Misdirected.into()),
             ResponseKind::Valid { load } => load,
         };
-        let mut fields = Vec::with_capacity(256);
-        let dialect = &self.board.dialect;
-        scrub::copy(&head.headers, |name, _| dialect.forwards_response_header(name), &mut fields);
+        let mut header_lines = Vec::with_capacity(256);
+        let dialect = &self.exchanges.dialect;
+        scrub::copy(
+            &head.headers,
+            |name, _| dialect.forwards_response_header(name),
+            &mut header_lines,
+        );
         if framing == Framing::Empty
             && let Some(length) = head.headers.get("content-length")
         {
-            write::field(&mut fields, "content-length", length);
+            write::field(&mut header_lines, "content-length", length);
         }
-        let head = Head { status: head.status, fields: fields.into(), load };
-        let outcome = self.body(head, framing).await?;
-        // Bytes after the end of an answer belong to no request.
-        self.may_keep = may_keep && self.connection.buffer.is_empty();
+        let head = Head { status: head.status, header_lines: header_lines.into(), load };
+        let outcome = self.receive_body(head, framing).await?;
+        // Bytes after the end of a response belong to no request.
+        self.is_reusable = is_reusable && self.connection.buffer.is_empty();
         Ok(outcome)
     }
 
-    /// Reads over the body of an answer that says all in its head. Returns whether the connection
-    /// can be used again.
+    /// Discards the body of a response that is fully described by its head. Returns whether the
+    /// connection can be reused.
     async fn skip_body(&mut self, framing: Framing) -> bool {
         let mut decoder = Decoder::from(framing);
         loop {
-            match self.piece(&mut decoder).await {
+            match self.next_body_piece(&mut decoder).await {
                 Ok(Piece::Data(_)) => {}
                 Ok(Piece::End(_)) => return self.connection.buffer.is_empty(),
                 Err(_) => return false,
@@ -323,24 +338,25 @@
         }
     }
 
-    /// Reads the body of an answer, and passes it on as it comes if it is large.
-    async fn body(&mut self, head: Head, framing: Framing) -> Result<Outcome, Failure> {
-        let Head { status, fields, load } = head;
+    /// Reads the body of a response, and streams it if it is large.
+    async fn receive_body(&mut self, head: Head, framing: Framing) -> Result<Outcome, Failure> {
+        let Head { status, header_lines, load } = head;
         let end = RunEnd::Answered { status, report: load };
         if framing == Framing::Empty {
-            let answer = CallerResponse { status, fields, body: Body::Empty };
-            return Ok(Outcome { end, answer: Some(answer) });
+            let response = CallerResponse { status, header_lines, body: Body::Empty };
+            return Ok(Outcome { end, response: Some(response) });
         }
         let mut decoder = Decoder::from(framing);
-        let mut held = Held::default();
-        let is_large = matches!(framing, Framing::Length(length) if length > HELD_BYTES as u64);
-        while !is_large && held.size <= HELD_BYTES {
-            match self.piece(&mut decoder).await? {
-                Piece::Data(bytes) => held.push(bytes),
+        let mut buffered = BufferedBody::default();
+        let is_large =
+            matches!(framing, Framing::Length(length) if length > MAX_BUFFERED_BYTES as u64);
+        while !is_large && buffered.size <= MAX_BUFFERED_BYTES {
+            match self.next_body_piece(&mut decoder).await? {
+                Piece::Data(bytes) => buffered.push(bytes),
                 Piece::End(trailers) => {
-                    let body = Body::there(held.join(), trailers);
-                    let answer = CallerResponse { status, fields, body };
-                    return Ok(Outcome { end, answer: Some(answer) });
+                    let body = Body::complete(buffered.join(), trailers);
+                    let response = CallerResponse { status, header_lines, body };
+                    return Ok(Outcome { end, response: Some(response) });
                 }
             }
         }
@@ -348,25 +364,25 @@
             Framing::Length(length) => Some(length),
             _ => None,
         };
-        let (writer, rest) = body::channel(length);
-        let answer = CallerResponse { status, fields, body: Body::Stream(rest) };
-        self.board.pass_on(self.run.ticket, answer);
-        self.pass_on(&writer, held, &mut decoder).await?;
-        Ok(Outcome { end, answer: None })
+        let (writer, streamed) = body::channel(length);
+        let response = CallerResponse { status, header_lines, body: Body::Stream(streamed) };
+        self.exchanges.stream_response(self.run.ticket, response);
+        self.stream_body(&writer, buffered, &mut decoder).await?;
+        Ok(Outcome { end, response: None })
     }
 
-    async fn pass_on(
+    async fn stream_body(
         &mut self,
         writer: &Writer,
-        held: Held,
+        buffered: BufferedBody,
         decoder: &mut Decoder,
     ) -> Result<(), Failure> {
         let abandoned = |_| Failure::Abandoned;
-        for bytes in held.pieces {
+        for bytes in buffered.pieces {
             writer.send(Piece::Data(bytes)).await.map_err(abandoned)?;
         }
         loop {
-            let piece = self.piece(decoder).await?;
+            let piece = self.next_body_piece(decoder).await?;
             let is_end = matches!(piece, Piece::End(_));
             writer.send(piece).await.map_err(abandoned)?;
             if is_end {
@@ -375,9 +391,9 @@
         }
     }
 
-    /// The next piece of the body.
-    async fn piece(&mut self, decoder: &mut Decoder) -> Result<Piece, Failure> {
-        let dialect = &self.board.dialect;
+    /// Reads the next piece of the body.
+    async fn next_body_piece(&mut self, decoder: &mut Decoder) -> Result<Piece, Failure> {
+        let dialect = &self.exchanges.dialect;
         let Connection { stream, buffer, .. } = &mut self.connection;
         loop {
             match decoder.take(buffer)? {
@@ -403,11 +419,11 @@
     }
 }
 
-/// The part of a request's body that is being sent, if the body is still coming.
+/// The part of a streamed request body that is being sent.
 struct Sending {
     chunk: Vec<u8>,
     sent: usize,
-    in_chunks: bool,
+    is_chunked: bool,
     is_done: bool,
 }
 
@@ -416,14 +432,14 @@
         self.chunk.clear();
         self.sent = 0;
         match piece {
-            Piece::Data(bytes) if !self.in_chunks => self.chunk.extend_from_slice(&bytes),
+            Piece::Data(bytes) if !self.is_chunked => self.chunk.extend_from_slice(&bytes),
             Piece::Data(bytes) => {
                 write::chunk_size(&mut self.chunk, bytes.len());
                 self.chunk.extend_from_slice(&bytes);
                 self.chunk.extend_from_slice(b"\r\n");
             }
             Piece::End(trailers) => {
-                if self.in_chunks {
+                if self.is_chunked {
                     write::last_chunk(&mut self.chunk, &trailers);
                 }
                 self.is_done = true;
@@ -436,21 +452,21 @@
     }
 }
 
-async fn next_piece(rest: &mut Option<Stream>) -> Option<Piece> {
-    match rest {
-        Some(rest) => rest.next().await,
+async fn next_piece(streamed: &mut Option<Stream>) -> Option<Piece> {
+    match streamed {
+        Some(streamed) => streamed.next().await,
         None => None,
     }
 }
 
-/// Pieces of a body that are kept until it is whole.
+/// Pieces of a body that are buffered until it is complete.
 #[derive(Default)]
-struct Held {
+struct BufferedBody {
     pieces: Vec<Bytes>,
     size: usize,
 }
 
-impl Held {
+impl BufferedBody {
     fn push(&mut self, bytes: Bytes) {
         self.size += bytes.len();
         self.pieces.push(bytes);
