--- a/crates/mustardpin-node/src/traffic/http2.rs
+++ b/crates/mustardpin-node/src/traffic/http2.rs
@@ -46,13 +46,13 @@
 /// The response was truncated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
-#[display("the answer ended before it was whole")]
+#[display("the response was truncated")]
 struct Truncated;
 
 /// Serves a connection whose first bytes have been read into `buffer`.
 pub(super) async fn serve(
     exchanges: Arc<Exchanges>,
-    door: ListenerKind,
+    kind: ListenerKind,
     stream: TcpStream,
     buffer: BytesMut,
     mut stage: watch::Receiver<Stage>,
@@ -60,7 +60,7 @@
     let (reader, writer) = stream.into_split();
     let io = TokioIo::new(join(Cursor::new(buffer).chain(reader), writer));
     let header_size = exchanges.callers().header_size;
-    let service = service_fn(move |request| respond(Arc::clone(&exchanges), door, request));
+    let service = service_fn(move |request| respond(Arc::clone(&exchanges), kind, request));
     let connection = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
         .initial_stream_window_size(STREAM_WINDOW_BYTES)
@@ -81,12 +81,12 @@
 
 async fn respond(
     exchanges: Arc<Exchanges>,
-    door: ListenerKind,
+    kind: ListenerKind,
     request: http::Request<Incoming>,
 ) -> Result<Response<HyperBody>, Truncated> {
     let (parts, incoming) = request.into_parts();
     let head = head_of(&parts);
-    let port = if door == ListenerKind::Local { Port::Local } else { Port::Callers };
+    let port = if kind == ListenerKind::Local { Port::Local } else { Port::Callers };
     let body = match read_body(&exchanges, port, &head, incoming).await {
         Ok(body) => body,
         Err(reason) => return Ok(hyper_response(intake::refuse(&exchanges, reason, None))),
--- a/crates/mustardpin-node/src/traffic/link/wire.rs
+++ b/crates/mustardpin-node/src/traffic/link/wire.rs
@@ -29,32 +29,32 @@
     #[display("the connection could not be made, or broke")]
     Io(io::Error),
     /// The peer did not complete the connection in time.
-    #[display("the other side took too long")]
+    #[display("the peer did not complete the connection in time")]
     Timeout(tokio::time::error::Elapsed),
     /// The peer sent a malformed frame.
-    #[display("the other side sent something that is no frame")]
+    #[display("the peer sent a malformed frame")]
     Frame(frame::Error),
     /// The peer sent a malformed message.
-    #[display("the other side sent a message that cannot be read")]
+    #[display("the peer sent a malformed message")]
     Message(mustardpin_wire::message::Error),
     /// The peer sent a frame that is not valid in this state.
-    #[display("the other side sent a frame that has no place here")]
+    #[display("the peer sent a frame that is not valid in this state")]
     #[from(skip)]
     UnexpectedFrame,
     /// The peer has a wrong fleet credential or another protocol version.
-    #[display("the other side does not have the fleet's credential, or speaks another version")]
+    #[display("the peer has a wrong fleet credential or another protocol version")]
     #[from(skip)]
     Credential,
     /// The node at the other end is not the expected one.
-    #[display("another node is there than the one that is wanted")]
+    #[display("the node at the other end is not the expected one")]
     #[from(skip)]
     WrongNode,
     /// The peer stopped responding to pings.
-    #[display("the other side has stopped answering")]
+    #[display("the peer stopped responding to pings")]
     #[from(skip)]
     PingTimeout,
     /// The connection was closed by this node.
-    #[display("the connection is not wanted any more")]
+    #[display("the connection was closed by this node")]
     #[from(skip)]
     Closed,
 }
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -49,17 +49,17 @@
 #[derive(Display, Error, From)]
 enum Failure {
     /// The connection failed.
-    #[display("the connection broke")]
+    #[display("the connection failed")]
     Io(io::Error),
     /// The response is malformed.
-    #[display("the answer is malformed")]
+    #[display("the response is malformed")]
     Malformed(mustardpin_http::Error),
     /// The dialect rejected the response.
     #[display("{_0}")]
     #[from(skip)]
     Unusable(#[error(not(source))] &'static str),
     /// The caller disconnected, or its request body was truncated.
-    #[display("nobody waits for the answer any more")]
+    #[display("the caller disconnected, or its request body was truncated")]
     #[from(skip)]
     Abandoned,
 }
