--- a/crates/mustardpin-node/src/admin.rs
+++ b/crates/mustardpin-node/src/admin.rs
@@ -1,6 +1,6 @@
 //! The administration API that every node serves to operators.
 //!
-//! [`Desk`] answers one request at a time out of what [`Control`] gives; [`crate::server`] puts it
+//! [`AdminService`] answers one request at a time out of what [`Control`] gives; [`crate::server`] puts it
 //! on a listener. Paths and bodies are those of [`mustardpin_wire::admin`].
 
 mod bridge;
@@ -43,12 +43,13 @@
 pub struct Stopping;
 
 /// The outcome of a proposal.
-pub type Answer = Result<Revision, ChangeError>;
+pub type ProposalResult = Result<Revision, ChangeError>;
 
 /// What the administration API needs from the control thread.
 pub trait Control: Send + Sync + 'static {
     /// Proposes a change and waits for the answer.
-    fn propose(&self, proposal: event::Proposal) -> BoxFuture<'_, Result<Answer, Stopping>>;
+    fn propose(&self, proposal: event::Proposal)
+    -> BoxFuture<'_, Result<ProposalResult, Stopping>>;
 
     /// The state of the node.
     fn status(&self) -> BoxFuture<'_, Result<Status, Stopping>>;
@@ -57,29 +58,29 @@
     fn configuration(&self) -> BoxFuture<'_, Result<Configuration, Stopping>>;
 }
 
-impl Service for Desk {
-    fn answer(
+impl Service for AdminService {
+    fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Full<Bytes>>> {
-        Box::pin(async move { Desk::answer(&self, request).await })
+        Box::pin(async move { AdminService::respond(&self, request).await })
     }
 }
 
 /// Answers requests of operators.
-pub struct Desk {
+pub struct AdminService {
     credential: KeyDigest,
     control: Arc<dyn Control>,
 }
 
-impl Desk {
-    /// A desk that answers those who show the credential with this digest.
-    pub fn new(credential: KeyDigest, control: Arc<dyn Control>) -> Desk {
-        Desk { credential, control }
+impl AdminService {
+    /// A service that answers those who show the credential with this digest.
+    pub fn new(credential: KeyDigest, control: Arc<dyn Control>) -> AdminService {
+        AdminService { credential, control }
     }
 
     /// Answers one request.
-    pub async fn answer<B>(&self, request: Request<B>) -> Response<Full<Bytes>>
+    pub async fn respond<B>(&self, request: Request<B>) -> Response<Full<Bytes>>
     where
         B: Body<Data = Bytes>,
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
--- a/crates/mustardpin-node/src/admin/bridge.rs
+++ b/crates/mustardpin-node/src/admin/bridge.rs
@@ -7,7 +7,7 @@
 use mustardpin_world::event::Proposal;
 
 use crate::{
-    admin::{Answer, Control, Stopping},
+    admin::{Control, ProposalResult, Stopping},
     clock::Clock,
     control::Handle,
 };
@@ -26,7 +26,7 @@
 }
 
 impl Control for Bridge {
-    fn propose(&self, proposal: Proposal) -> BoxFuture<'_, Result<Answer, Stopping>> {
+    fn propose(&self, proposal: Proposal) -> BoxFuture<'_, Result<ProposalResult, Stopping>> {
         Box::pin(async { self.control.propose(proposal).await.map_err(|_| Stopping) })
     }
 
--- a/crates/mustardpin-node/src/clock.rs
+++ b/crates/mustardpin-node/src/clock.rs
@@ -14,24 +14,24 @@
 
 /// The machine's clock since it was booted, which counts the time that it was suspended.
 #[derive(Debug, Clone, Copy)]
-pub struct Monotonic {
+pub struct BootClock {
     start: Duration,
 }
 
-impl Monotonic {
+impl BootClock {
     /// A clock that shows zero now.
     ///
     /// ```
-    /// use mustardpin_node::clock::{Clock as _, Monotonic};
+    /// use mustardpin_node::clock::{BootClock, Clock as _};
     /// use mustardpin_world::Millis;
-    /// assert!(Monotonic::start().now() < Millis::from_secs(60));
+    /// assert!(BootClock::start().now() < Millis::from_secs(60));
     /// ```
-    pub fn start() -> Monotonic {
-        Monotonic { start: since_boot() }
+    pub fn start() -> BootClock {
+        BootClock { start: since_boot() }
     }
 }
 
-impl Clock for Monotonic {
+impl Clock for BootClock {
     fn now(&self) -> Millis {
         // A u64 of milliseconds lasts longer than any process.
         Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
--- a/crates/mustardpin-node/src/control.rs
+++ b/crates/mustardpin-node/src/control.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    admin::Answer,
+    admin::ProposalResult,
     clock::Clock,
     log::{self, LogSink},
     store::Store,
@@ -35,7 +35,7 @@
     /// Something that the world has no part in is worth a log line.
     LogEntry(Entry),
     /// An operator proposed a change.
-    Proposed(Proposal, oneshot::Sender<Answer>),
+    Proposed(Proposal, oneshot::Sender<ProposalResult>),
     /// Reads the tables between two ticks.
     Report(Box<dyn FnOnce(&World) + Send>),
     /// The settings have changed.
@@ -45,7 +45,7 @@
 }
 
 /// What stands at the borders of the control thread.
-pub struct Borders {
+pub struct Interfaces {
     /// The time.
     pub clock: Arc<dyn Clock>,
     /// The platform's store.
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// If the control thread has ended.
-    pub async fn propose(&self, proposal: Proposal) -> Result<Answer, Stopped> {
+    pub async fn propose(&self, proposal: Proposal) -> Result<ProposalResult, Stopped> {
         let (sender, receiver) = oneshot::channel();
         self.send(Input::Proposed(proposal, sender));
         receiver.await.map_err(|_| Stopped)
--- a/crates/mustardpin-node/src/control/thread.rs
+++ b/crates/mustardpin-node/src/control/thread.rs
@@ -12,8 +12,8 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    admin::Answer,
-    control::{Borders, Input},
+    admin::ProposalResult,
+    control::{Input, Interfaces},
     traffic::TrafficCommand,
 };
 
@@ -33,12 +33,12 @@
 /// If the machine gives no thread.
 pub fn spawn(
     world: World,
-    borders: Borders,
+    interfaces: Interfaces,
     inputs: Receiver<Input>,
 ) -> io::Result<JoinHandle<()>> {
     let thread = Thread {
         world,
-        borders,
+        interfaces,
         orders: Vec::new(),
         proposals: HashMap::new(),
         last_proposal: ProposalTicket(0),
@@ -50,10 +50,10 @@
 
 struct Thread {
     world: World,
-    borders: Borders,
+    interfaces: Interfaces,
     /// Orders of the present tick for the traffic side.
     orders: Vec<TrafficCommand>,
-    proposals: HashMap<ProposalTicket, oneshot::Sender<Answer>>,
+    proposals: HashMap<ProposalTicket, oneshot::Sender<ProposalResult>>,
     last_proposal: ProposalTicket,
     wake: Millis,
 }
@@ -81,7 +81,7 @@
 
     /// How long to wait for input.
     fn wait(&self) -> Duration {
-        let wait = (self.wake - self.borders.clock.now()).clamp(MIN_WAIT, LONGEST_WAIT);
+        let wait = (self.wake - self.interfaces.clock.now()).clamp(MIN_WAIT, LONGEST_WAIT);
         Duration::from_millis(wait.0)
     }
 
@@ -94,9 +94,9 @@
                 self.proposals.insert(self.last_proposal, answer);
                 events.push(Event::Proposed(self.last_proposal, proposal));
             }
-            Input::LogEntry(entry) => self.borders.log.write(entry),
+            Input::LogEntry(entry) => self.interfaces.log.write(entry),
             Input::Reloaded(log, options) => {
-                self.borders.log.reload(log);
+                self.interfaces.log.reload(log);
                 events.push(Event::Reloaded(*options));
             }
             Input::Report(read) => read(&self.world),
@@ -106,12 +106,12 @@
     }
 
     fn tick(&mut self, events: Vec<Event>) {
-        let now = self.borders.clock.now();
+        let now = self.interfaces.clock.now();
         for command in self.world.tick(now, events) {
             self.carry_out(command);
         }
         if !self.orders.is_empty() {
-            self.borders.traffic.execute(std::mem::take(&mut self.orders));
+            self.interfaces.traffic.execute(std::mem::take(&mut self.orders));
         }
     }
 
@@ -133,10 +133,10 @@
             Command::CloseIdle => TrafficCommand::CloseIdle,
             Command::Exit => TrafficCommand::Exit,
             Command::Store(ticket, operation) => {
-                return self.borders.store.ask(ticket, operation);
+                return self.interfaces.store.submit(ticket, operation);
             }
             Command::Answer(ticket, answer) => return self.answer(ticket, answer),
-            Command::Log(entry) => return self.borders.log.write(entry),
+            Command::Log(entry) => return self.interfaces.log.write(entry),
             Command::Wake(at) => {
                 self.wake = at;
                 return;
@@ -145,7 +145,7 @@
         self.orders.push(order);
     }
 
-    fn answer(&mut self, ticket: ProposalTicket, answer: Answer) {
+    fn answer(&mut self, ticket: ProposalTicket, answer: ProposalResult) {
         if let Some(sender) = self.proposals.remove(&ticket) {
             // The operator may have gone in the meantime.
             let _ = sender.send(answer);
--- a/crates/mustardpin-node/src/launch.rs
+++ b/crates/mustardpin-node/src/launch.rs
@@ -16,7 +16,7 @@
 
 /// Makes the client to the platform's store. Replies go to the control thread; what has to wait
 /// runs on the runtime that it is called in.
-pub type MakeStore = Box<dyn FnOnce(Handle) -> Box<dyn Store> + Send>;
+pub type StoreFactory = Box<dyn FnOnce(Handle) -> Box<dyn Store> + Send>;
 
 /// Everything a node is told when it starts.
 pub struct Launch {
@@ -36,7 +36,7 @@
     /// What callers and targets say.
     pub dialect: Arc<dyn Dialect>,
     /// The client to the platform's store.
-    pub store: MakeStore,
+    pub store: StoreFactory,
     /// Addresses of nodes to ask for peers.
     pub seeds: Vec<SocketAddr>,
     /// How log lines are written.
@@ -50,18 +50,18 @@
 }
 
 /// What stands at a node's borders and is not a matter of settings.
-pub struct Borders {
+pub struct Dependencies {
     /// What callers and targets say.
     pub dialect: Arc<dyn Dialect>,
     /// The client to the platform's store.
-    pub store: MakeStore,
+    pub store: StoreFactory,
     /// The file that the settings come from, to be read again when it changes.
     pub settings_file: Option<PathBuf>,
 }
 
 impl Launch {
     /// What settings mean for a node.
-    pub fn new(settings: Settings, borders: Borders) -> Launch {
+    pub fn new(settings: Settings, dependencies: Dependencies) -> Launch {
         Launch {
             name: settings.name,
             data_centre: settings.data_centre,
@@ -69,11 +69,11 @@
             addresses: settings.addresses.into(),
             fleet_credential: KeyDigest::of(&settings.credentials.fleet),
             operator_credential: KeyDigest::of(&settings.credentials.operator),
-            dialect: borders.dialect,
-            store: borders.store,
+            dialect: dependencies.dialect,
+            store: dependencies.store,
             seeds: settings.seeds,
             log: settings.log.into(),
-            settings_file: borders.settings_file,
+            settings_file: dependencies.settings_file,
             limits: settings.limits.into(),
             options: settings.options,
         }
@@ -104,12 +104,12 @@
             requests: limits.requests,
             header_size: limits.header_size,
             body_size: limits.body_size,
-            replay_size: limits.replay_size,
-            kept_size: limits.kept_size,
+            retry_body_size: limits.replay_size,
+            buffered_size: limits.kept_size,
             header_timeout: duration(limits.header_timeout),
             body_timeout: duration(limits.body_timeout),
             idle_timeout: duration(limits.idle_timeout),
-            close_linger: duration(limits.close_linger),
+            drain_idle_timeout: duration(limits.close_linger),
             exit_grace: duration(limits.exit_grace),
             traffic_threads: limits.traffic_threads,
         }
@@ -170,9 +170,9 @@
     /// The size of a request's body, in bytes.
     pub body_size: usize,
     /// The size of a request's body that is kept so that it can be sent again, in bytes.
-    pub replay_size: usize,
+    pub retry_body_size: usize,
     /// The size of all request bodies kept at once, in bytes.
-    pub kept_size: usize,
+    pub buffered_size: usize,
     /// How long a request's headers may take to come.
     pub header_timeout: Duration,
     /// How long a sender may pause within a request's body.
@@ -181,7 +181,7 @@
     pub idle_timeout: Duration,
     /// Idle connections are closed when they have been idle for this long after the node began to
     /// leave.
-    pub close_linger: Duration,
+    pub drain_idle_timeout: Duration,
     /// How long connections may take to end once the node has finished all requests.
     pub exit_grace: Duration,
     /// Threads for traffic.
@@ -208,12 +208,12 @@
             requests: 2_048,
             header_size: 16 * 1024,
             body_size: 8 * 1024 * 1024,
-            replay_size: 64 * 1024,
-            kept_size: 64 * 1024 * 1024,
+            retry_body_size: 64 * 1024,
+            buffered_size: 64 * 1024 * 1024,
             header_timeout: Duration::from_secs(10),
             body_timeout: Duration::from_secs(10),
             idle_timeout: Duration::from_secs(60),
-            close_linger: Duration::from_secs(1),
+            drain_idle_timeout: Duration::from_secs(1),
             exit_grace: Duration::from_secs(5),
             traffic_threads: 2,
         }
--- a/crates/mustardpin-node/src/metrics.rs
+++ b/crates/mustardpin-node/src/metrics.rs
@@ -34,15 +34,15 @@
 const MILLIS_IN_SECOND: f64 = 1_000.0;
 
 /// The page that collectors read.
-pub struct Page {
+pub struct MetricsService {
     control: Handle,
     clock: Arc<dyn Clock>,
 }
 
-impl Page {
+impl MetricsService {
     /// A page about the node behind this control thread.
-    pub fn new(control: Handle, clock: Arc<dyn Clock>) -> Page {
-        Page { control, clock }
+    pub fn new(control: Handle, clock: Arc<dyn Clock>) -> MetricsService {
+        MetricsService { control, clock }
     }
 
     async fn text(&self) -> Option<String> {
@@ -53,8 +53,8 @@
     }
 }
 
-impl Service for Page {
-    fn answer(
+impl Service for MetricsService {
+    fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Full<Bytes>>> {
--- a/crates/mustardpin-node/src/node.rs
+++ b/crates/mustardpin-node/src/node.rs
@@ -21,8 +21,8 @@
 
 use crate::{
     admin,
-    clock::Monotonic,
-    control::{self, Borders, Handle},
+    clock::BootClock,
+    control::{self, Handle, Interfaces},
     launch::{Addresses, Launch, Limits},
     log, metrics,
     reload::Watch,
@@ -100,7 +100,7 @@
             service: launch.service.clone(),
             address: addresses.announced.unwrap_or(addresses.peers).to_compact_string(),
         };
-        let clock = Arc::new(Monotonic::start());
+        let clock = Arc::new(BootClock::start());
         let (control, inputs) = Handle::channel();
         let board = Exchanges::new(Setup {
             control: control.clone(),
@@ -115,7 +115,7 @@
         });
         let (dispatcher, dispatching) = Dispatcher::new(Arc::clone(&board));
         let _guard = handle.enter();
-        let borders = Borders {
+        let interfaces = Interfaces {
             clock: Arc::clone(&clock) as _,
             store: (launch.store)(control.clone()),
             traffic: Box::new(dispatcher),
@@ -123,7 +123,7 @@
         };
         let identity = mustardpin_world::Identity { announcement: announcement.clone() };
         let world = World::new(identity, launch.options, rand::random());
-        let control_thread = control::spawn(world, borders, inputs)?;
+        let control_thread = control::spawn(world, interfaces, inputs)?;
         handle.spawn(dispatching);
         handle.spawn(Arc::clone(&board).send_events());
         handle.spawn(Arc::clone(&board).send_lag_probes());
@@ -133,11 +133,11 @@
         let connections = TaskTracker::new();
         if let Some(listener) = listeners.admin.take() {
             let bridge = admin::Bridge::new(control.clone(), Arc::clone(&clock) as _);
-            let desk = admin::Desk::new(launch.operator_credential, Arc::new(bridge));
+            let desk = admin::AdminService::new(launch.operator_credential, Arc::new(bridge));
             handle.spawn(server::serve(listener, Arc::new(desk), server::Limits::default()));
         }
         if let Some(listener) = listeners.metrics.take() {
-            let page = metrics::Page::new(control.clone(), clock);
+            let page = metrics::MetricsService::new(control.clone(), clock);
             handle.spawn(server::serve(listener, Arc::new(page), server::Limits::default()));
         }
         if let Some(file) = launch.settings_file {
@@ -243,7 +243,7 @@
     let mut stage = board.stage();
     // Fails only if the board is gone, which this task holds.
     let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
-    let linger = time::sleep(limits.close_linger);
+    let linger = time::sleep(limits.drain_idle_timeout);
     let _ = stage.wait_for(|stage| *stage == Stage::Exiting).await;
     linger.await;
     connections.close();
--- a/crates/mustardpin-node/src/server.rs
+++ b/crates/mustardpin-node/src/server.rs
@@ -22,7 +22,7 @@
 /// Answers requests.
 pub trait Service: Send + Sync + 'static {
     /// Answers one request.
-    fn answer(
+    fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Full<Bytes>>>;
@@ -57,12 +57,12 @@
 /// ```
 /// use std::sync::Arc;
 ///
-/// use mustardpin_node::{admin::{Control, Desk}, server::{Limits, serve}};
+/// use mustardpin_node::{admin::{AdminService, Control}, server::{Limits, serve}};
 /// use mustardpin_world::id::KeyDigest;
 ///
 /// async fn start(control: Arc<dyn Control>) -> std::io::Result<()> {
 ///     let listener = tokio::net::TcpListener::bind("127.0.0.1:7004").await?;
-///     let desk = Desk::new(KeyDigest::of("an-operator-credential"), control);
+///     let desk = AdminService::new(KeyDigest::of("an-operator-credential"), control);
 ///     serve(listener, Arc::new(desk), Limits::default()).await;
 ///     Ok(())
 /// }
@@ -88,7 +88,7 @@
 async fn serve_connection<S: Service>(stream: TcpStream, service: Arc<S>, limits: Limits) {
     let service = service_fn(move |request| {
         let service = Arc::clone(&service);
-        async move { Ok::<_, Infallible>(service.answer(request).await) }
+        async move { Ok::<_, Infallible>(service.respond(request).await) }
     });
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder
--- a/crates/mustardpin-node/src/store.rs
+++ b/crates/mustardpin-node/src/store.rs
@@ -5,5 +5,5 @@
 /// Asks the store.
 pub trait Store: Send {
     /// Asks without waiting. The reply comes as an event, also if there is no answer in time.
-    fn ask(&mut self, ticket: Ticket, operation: Operation);
+    fn submit(&mut self, ticket: Ticket, operation: Operation);
 }
--- a/crates/mustardpin-node/src/traffic/caller.rs
+++ b/crates/mustardpin-node/src/traffic/caller.rs
@@ -283,7 +283,7 @@
         }
         let is_leaving = *self.stage.borrow() != Stage::Serving;
         let linger = match is_leaving {
-            true => self.exchanges.limits.close_linger,
+            true => self.exchanges.limits.drain_idle_timeout,
             false => duration(callers.idle_timeout),
         };
         self.idle_since + linger
--- a/crates/mustardpin-node/src/traffic/caller/reading.rs
+++ b/crates/mustardpin-node/src/traffic/caller/reading.rs
@@ -158,7 +158,7 @@
                     incoming.reserved_bytes += bytes.len();
                     incoming.buffered_bytes += bytes.len();
                     incoming.pieces.push(bytes);
-                    if incoming.buffered_bytes > exchanges.limits.replay_size {
+                    if incoming.buffered_bytes > exchanges.limits.retry_body_size {
                         return self.begin_streaming(connection, buffer, incoming);
                     }
                 }
--- a/crates/mustardpin-node/src/traffic/exchanges.rs
+++ b/crates/mustardpin-node/src/traffic/exchanges.rs
@@ -148,7 +148,7 @@
     /// Reserves memory for buffered bytes of a request body. Returns false if the limit is reached.
     pub(super) fn reserve_bytes(&self, count: usize) -> bool {
         let previous = self.buffered_bytes.fetch_add(count, Ordering::Relaxed);
-        let is_within_limit = previous + count <= self.limits.kept_size;
+        let is_within_limit = previous + count <= self.limits.buffered_size;
         if !is_within_limit {
             self.buffered_bytes.fetch_sub(count, Ordering::Relaxed);
         }
--- a/crates/mustardpin-node/src/traffic/http2.rs
+++ b/crates/mustardpin-node/src/traffic/http2.rs
@@ -139,7 +139,7 @@
     }
     let mut buffered = BytesMut::new();
     let mut trailers = Bytes::new();
-    while buffered.len() <= exchanges.limits.replay_size {
+    while buffered.len() <= exchanges.limits.retry_body_size {
         let frame = time::timeout(exchanges.limits.body_timeout, incoming.frame()).await;
         match frame.map_err(|_| Reason::BodyTimeout)? {
             None => return Ok(Body::complete(buffered.freeze(), trailers)),
--- a/crates/mustardpin-node/tests/testsuite/admin.rs
+++ b/crates/mustardpin-node/tests/testsuite/admin.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 use http::Request;
 use http_body_util::{BodyExt as _, Full};
-use mustardpin_node::admin::{Answer, Control, Desk, Stopping};
+use mustardpin_node::admin::{AdminService, Control, ProposalResult, Stopping};
 use mustardpin_wire::admin::{Configuration, status::Status};
 use mustardpin_world::{
     Identity, Millis, Options, World,
@@ -31,7 +31,7 @@
 }
 
 impl Control for Script {
-    fn propose(&self, proposal: Proposal) -> BoxFuture<'_, Result<Answer, Stopping>> {
+    fn propose(&self, proposal: Proposal) -> BoxFuture<'_, Result<ProposalResult, Stopping>> {
         let path = Path { kind: Kind::Team, name: "garages".into() };
         let answer = match proposal.id.as_str() {
             "conflict" => Err(ChangeError::Conflict {
@@ -59,14 +59,14 @@
 const CREDENTIAL: &str = "an-operator-credential";
 
 async fn ask(method: &str, path: &str, credential: &str, body: &str) -> String {
-    let desk = Desk::new(KeyDigest::of(CREDENTIAL), Arc::new(Script));
+    let desk = AdminService::new(KeyDigest::of(CREDENTIAL), Arc::new(Script));
     let request = Request::builder()
         .method(method)
         .uri(path)
         .header("authorization", credential)
         .body(Full::new(Bytes::from(body.to_owned())))
         .expect("a well-formed request");
-    let response = desk.answer(request).await;
+    let response = desk.respond(request).await;
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.expect("a body in memory").to_bytes();
     format!("{status} {}", String::from_utf8_lossy(&body))
--- a/crates/mustardpin-node/tests/testsuite/control.rs
+++ b/crates/mustardpin-node/tests/testsuite/control.rs
@@ -1,4 +1,4 @@
-//! The control thread, with fakes at its borders.
+//! The control thread, with fakes at its interfaces.
 
 use std::{
     sync::{
@@ -10,8 +10,8 @@
 };
 
 use mustardpin_node::{
-    clock::{Clock, Monotonic},
-    control::{self, Borders, Handle},
+    clock::{BootClock, Clock},
+    control::{self, Handle, Interfaces},
     log::LogSink,
     store::Store,
     traffic::{Traffic, TrafficCommand},
@@ -28,14 +28,14 @@
 /// Stands at every border. Counts how often the time is asked for, and keeps log lines.
 #[derive(Clone)]
 pub struct Silence {
-    clock: Monotonic,
+    clock: BootClock,
     asked: Arc<AtomicUsize>,
     entries: Arc<Mutex<Vec<Entry>>>,
 }
 
 impl Silence {
     fn new() -> Silence {
-        Silence { clock: Monotonic::start(), asked: Arc::default(), entries: Arc::default() }
+        Silence { clock: BootClock::start(), asked: Arc::default(), entries: Arc::default() }
     }
 
     fn has_logged(&self, event: &str) -> bool {
@@ -55,7 +55,7 @@
 }
 
 impl Store for Silence {
-    fn ask(&mut self, _: Ticket, _: Operation) {}
+    fn submit(&mut self, _: Ticket, _: Operation) {}
 }
 
 impl LogSink for Silence {
@@ -79,13 +79,13 @@
     };
     let world = World::new(Identity { announcement }, Options::default(), 1);
     let (control, inputs) = Handle::channel();
-    let borders = Borders {
+    let interfaces = Interfaces {
         clock: Arc::new(silence.clone()),
         store: Box::new(silence.clone()),
         traffic: Box::new(silence.clone()),
         log: Box::new(silence.clone()),
     };
-    control::spawn(world, borders, inputs).expect("a thread");
+    control::spawn(world, interfaces, inputs).expect("a thread");
     control
 }
 
--- a/crates/mustardpin-node/tests/testsuite/fake/fleet.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/fleet.rs
@@ -49,7 +49,7 @@
         seeds: Vec::new(),
         log: log::Options { level: Level::Error, ..log::Options::default() },
         settings_file: None,
-        limits: Limits { close_linger: Duration::from_millis(200), ..Limits::default() },
+        limits: Limits { drain_idle_timeout: Duration::from_millis(200), ..Limits::default() },
         options: Options {
             roster: Roster { patience: Millis(200), spread: Millis::ZERO },
             stop: Stop { stay: Millis::ZERO, ..Stop::default() },
--- a/crates/mustardpin-node/tests/testsuite/fake/platform.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/platform.rs
@@ -112,7 +112,7 @@
 }
 
 impl Store for Client {
-    fn ask(&mut self, ticket: Ticket, operation: Operation) {
+    fn submit(&mut self, ticket: Ticket, operation: Operation) {
         let (platform, control) = (self.platform.clone(), self.control.clone());
         self.runtime.spawn(async move {
             let reply = match operation {
--- a/crates/mustardpin-node/tests/testsuite/input.rs
+++ b/crates/mustardpin-node/tests/testsuite/input.rs
@@ -148,7 +148,7 @@
 
 #[test]
 fn bodies_that_are_kept_never_exceed_their_limit() {
-    let limits = Limits { kept_size: 10_000, ..Limits::default() };
+    let limits = Limits { buffered_size: 10_000, ..Limits::default() };
     let fleet = fleet(limits);
     let callers = fleet.callers(0);
     let key = format!("Bearer {KEY}");
--- a/crates/mustardpin-node/tests/testsuite/leave.rs
+++ b/crates/mustardpin-node/tests/testsuite/leave.rs
@@ -71,7 +71,7 @@
 #[test]
 fn a_request_on_a_connection_that_was_idle_is_answered_while_the_node_leaves() {
     let mut fleet = Fleet::start_with(&[("slots", script())], |mut launch| {
-        launch.limits.close_linger = Duration::from_millis(1_000);
+        launch.limits.drain_idle_timeout = Duration::from_millis(1_000);
         launch
     });
     let callers = fleet.callers(0);
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use lexopt::Parser;
-use mustardpin_node::{Launch, launch::Borders};
+use mustardpin_node::{Launch, launch::Dependencies};
 use mustardpin_platform::{Client, store::WhoWrites};
 use mustardpin_settings::Settings;
 use mustardpin_wire::native::Native;
@@ -23,13 +23,13 @@
     let Some(file) = settings_file(parser, HELP)? else { return Ok(()) };
     let settings = Settings::load(&file)?;
     let platform = settings.platform;
-    let borders = Borders {
+    let dependencies = Dependencies {
         dialect: Arc::new(Native::new(settings.service.clone())),
         store: Box::new(move |control| {
             Box::new(Client::new(platform.address, platform.timeout, WhoWrites::Nodes, control))
         }),
         settings_file: Some(file),
     };
-    mustardpin_node::run(Launch::new(settings, borders))?;
+    mustardpin_node::run(Launch::new(settings, dependencies))?;
     Ok(())
 }
