--- a/crates/mustardpin-node/src/admin.rs
+++ b/crates/mustardpin-node/src/admin.rs
@@ -1,7 +1,7 @@
 //! The administration API that every node serves to operators.
 //!
-//! [`AdminService`] answers one request at a time out of what [`Control`] gives; [`crate::server`] puts it
-//! on a listener. Paths and bodies are those of [`mustardpin_wire::admin`].
+//! [`AdminService`] responds to one request at a time with data from [`Control`]; [`crate::server`]
+//! serves it on a listener. Paths and bodies are those of [`mustardpin_wire::admin`].
 
 mod bridge;
 
@@ -29,32 +29,32 @@
 
 pub use self::bridge::Bridge;
 
-/// The largest body of a request, in bytes.
-const BODY_SIZE_LIMIT: usize = 1 << 20;
-/// How long a proposal may take; after that its outcome is unknown.
+/// The maximum size of a request's body, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// The timeout of a proposal; after it the outcome is unknown.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a body may take to arrive.
+/// The timeout for receiving a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The node is stopping and answers no more.
+/// The node is stopping, and its control thread no longer responds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("the node is stopping")]
 pub struct Stopping;
 
-/// The outcome of a proposal.
+/// The outcome of a proposal: the new revision, or why the change was not made.
 pub type ProposalResult = Result<Revision, ChangeError>;
 
-/// What the administration API needs from the control thread.
+/// The operations of the control thread that the administration API uses.
 pub trait Control: Send + Sync + 'static {
-    /// Proposes a change and waits for the answer.
+    /// Proposes a change and waits for the outcome.
     fn propose(&self, proposal: event::Proposal)
     -> BoxFuture<'_, Result<ProposalResult, Stopping>>;
 
-    /// The state of the node.
+    /// Returns the state of the node.
     fn status(&self) -> BoxFuture<'_, Result<Status, Stopping>>;
 
-    /// The configuration as the node knows it.
+    /// Returns the configuration that the node has.
     fn configuration(&self) -> BoxFuture<'_, Result<Configuration, Stopping>>;
 }
 
@@ -67,19 +67,19 @@
     }
 }
 
-/// Answers requests of operators.
+/// Responds to requests of operators.
 pub struct AdminService {
     credential: KeyDigest,
     control: Arc<dyn Control>,
 }
 
 impl AdminService {
-    /// A service that answers those who show the credential with this digest.
+    /// Creates a service that accepts requests with the credential of this digest.
     pub fn new(credential: KeyDigest, control: Arc<dyn Control>) -> AdminService {
         AdminService { credential, control }
     }
 
-    /// Answers one request.
+    /// Responds to one request.
     pub async fn respond<B>(&self, request: Request<B>) -> Response<Full<Bytes>>
     where
         B: Body<Data = Bytes>,
@@ -110,27 +110,27 @@
                 Ok(json(StatusCode::OK, &configuration))
             }
             (Method::POST, CHANGES_PATH) => {
-                let acceptance = self.propose(&read(body).await?).await?;
+                let acceptance = self.propose(&read_body(body).await?).await?;
                 Ok(json(StatusCode::OK, &acceptance))
             }
             _ => Err(Rejection::NotFound),
         }
     }
 
-    /// Compares digests, in the same time wherever they differ.
+    /// Compares digests, in a time that does not depend on where they differ.
     fn is_authorized(&self, headers: &HeaderMap) -> bool {
-        let shown = headers
+        let credential = headers
             .get(header::AUTHORIZATION)
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.strip_prefix("Bearer "));
-        shown.is_some_and(|shown| KeyDigest::of(shown) == self.credential)
+        credential.is_some_and(|credential| KeyDigest::of(credential) == self.credential)
     }
 
     async fn propose(&self, bytes: &[u8]) -> Result<Acceptance, Rejection> {
         let proposal: Proposal = serde_json::from_slice(bytes).map_err(malformed)?;
         let proposal = event::Proposal::try_from(proposal)?;
-        let answer = tokio::time::timeout(PROPOSAL_TIMEOUT, self.control.propose(proposal)).await;
-        match answer {
+        let outcome = tokio::time::timeout(PROPOSAL_TIMEOUT, self.control.propose(proposal)).await;
+        match outcome {
             Ok(Ok(Ok(revision))) => Ok(Acceptance { revision: revision.0 }),
             Ok(Ok(Err(error))) => Err(error.into()),
             Ok(Err(Stopping)) | Err(_) => Err(Rejection::Unavailable),
@@ -138,18 +138,18 @@
     }
 }
 
-async fn read<B>(body: B) -> Result<Bytes, Rejection>
+async fn read_body<B>(body: B) -> Result<Bytes, Rejection>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let collected = Limited::new(body, BODY_SIZE_LIMIT).collect();
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect();
     match tokio::time::timeout(BODY_TIMEOUT, collected).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(malformed(format_args!(
-            "the body is larger than {BODY_SIZE_LIMIT} bytes; split the change"
+            "the body is larger than {MAX_BODY_BYTES} bytes; split the change"
         ))),
-        Ok(Err(_)) | Err(_) => Err(malformed("the body broke off; send it again")),
+        Ok(Err(_)) | Err(_) => Err(malformed("the body was truncated or timed out; send it again")),
     }
 }
 
--- a/crates/mustardpin-node/src/admin/bridge.rs
+++ b/crates/mustardpin-node/src/admin/bridge.rs
@@ -1,4 +1,4 @@
-//! The control thread as the administration API sees it.
+//! Connects the administration API to the control thread.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
     control::Handle,
 };
 
-/// Asks the control thread.
+/// Implements [`Control`] by queries to the control thread.
 pub struct Bridge {
     control: Handle,
     clock: Arc<dyn Clock>,
 }
 
 impl Bridge {
-    /// A bridge to a control thread that lives by this clock.
+    /// Creates a bridge to the control thread that uses this clock.
     pub fn new(control: Handle, clock: Arc<dyn Clock>) -> Bridge {
         Bridge { control, clock }
     }
--- a/crates/mustardpin-node/src/clock.rs
+++ b/crates/mustardpin-node/src/clock.rs
@@ -5,21 +5,21 @@
 use mustardpin_world::Millis;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Tells the time.
+/// A source of the current time.
 pub trait Clock: Send + Sync {
-    /// The time since the process started, on a clock that never goes back and that goes on while
+    /// Returns the time since the process started. The clock never goes back, and advances while
     /// the process is frozen or the machine is suspended.
     fn now(&self) -> Millis;
 }
 
-/// The machine's clock since it was booted, which counts the time that it was suspended.
+/// The machine's clock since boot (`CLOCK_BOOTTIME`), which includes time in suspension.
 #[derive(Debug, Clone, Copy)]
 pub struct BootClock {
     start: Duration,
 }
 
 impl BootClock {
-    /// A clock that shows zero now.
+    /// Creates a clock that starts at zero.
     ///
     /// ```
     /// use mustardpin_node::clock::{BootClock, Clock as _};
@@ -33,7 +33,7 @@
 
 impl Clock for BootClock {
     fn now(&self) -> Millis {
-        // A u64 of milliseconds lasts longer than any process.
+        // A u64 holds the milliseconds of any process's lifetime.
         Millis(since_boot().saturating_sub(self.start).as_millis() as u64)
     }
 }
--- a/crates/mustardpin-node/src/control.rs
+++ b/crates/mustardpin-node/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: owns the world, and is told of events through a channel.
+//! The control thread: owns the world, and receives events through a channel.
 
 mod thread;
 
@@ -28,31 +28,31 @@
 #[display("the control thread has ended")]
 pub struct Stopped;
 
-/// What the control thread is told.
+/// A message to the control thread.
 pub enum Input {
-    /// Things happened, in this order.
+    /// Events, in the order in which they happened.
     Events(Vec<Event>),
-    /// Something that the world has no part in is worth a log line.
+    /// A log entry about something outside of the world.
     LogEntry(Entry),
-    /// An operator proposed a change.
+    /// A change that an operator proposed, and the sender for its outcome.
     Proposed(Proposal, oneshot::Sender<ProposalResult>),
-    /// Reads the tables between two ticks.
+    /// A function that reads the tables between two ticks.
     Report(Box<dyn FnOnce(&World) + Send>),
-    /// The settings have changed.
+    /// Changed settings.
     Reloaded(log::Options, Box<Options>),
     /// Ends the thread.
     Halt,
 }
 
-/// What stands at the borders of the control thread.
+/// The components that the control thread uses.
 pub struct Interfaces {
-    /// The time.
+    /// The clock for ticks.
     pub clock: Arc<dyn Clock>,
-    /// The platform's store.
+    /// The client of the platform's store.
     pub store: Box<dyn Store>,
-    /// The traffic side as a whole.
+    /// The traffic side, which executes traffic commands.
     pub traffic: Box<dyn Traffic>,
-    /// Log lines.
+    /// The receiver of log entries.
     pub log: Box<dyn LogSink>,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl Handle {
-    /// A channel to a control thread that is yet to be spawned.
+    /// Creates a channel to a control thread that is spawned later.
     ///
     /// ```
     /// use mustardpin_node::control::{Handle, Input};
@@ -78,27 +78,27 @@
         (Handle { sender }, receiver)
     }
 
-    /// Tells the world of an event. Lost once the thread has ended.
+    /// Sends an event to the world. It is lost if the thread has ended.
     pub fn event(&self, event: Event) {
         self.send(Input::Events(vec![event]));
     }
 
-    /// Tells the world of several events at once.
+    /// Sends several events to the world at once. They are lost if the thread has ended.
     pub fn events(&self, events: Vec<Event>) {
         self.send(Input::Events(events));
     }
 
-    /// Writes a log line.
+    /// Writes a log entry.
     pub fn write_log(&self, entry: Entry) {
         self.send(Input::LogEntry(entry));
     }
 
-    /// Puts other settings in force.
+    /// Applies changed settings.
     pub fn reload(&self, log: log::Options, options: Options) {
         self.send(Input::Reloaded(log, Box::new(options)));
     }
 
-    /// Reads the world's tables between two ticks.
+    /// Reads the world's tables between two ticks and returns what `read` returns.
     ///
     /// # Errors
     ///
@@ -109,13 +109,13 @@
     ) -> Result<T, Stopped> {
         let (sender, receiver) = oneshot::channel();
         self.send(Input::Report(Box::new(move |world| {
-            // The reader may have gone in the meantime.
+            // Fails if the querying task was dropped in the meantime.
             let _ = sender.send(read(world));
         })));
         receiver.await.map_err(|_| Stopped)
     }
 
-    /// Proposes a change on behalf of an operator, and waits for the answer.
+    /// Proposes a change on behalf of an operator, and waits for the outcome.
     ///
     /// # Errors
     ///
@@ -132,7 +132,7 @@
     }
 
     fn send(&self, input: Input) {
-        // Fails only once the thread has ended; then nobody is left to tell.
+        // Fails only if the thread has ended; then there is no receiver for the input.
         let _ = self.sender.send(input);
     }
 }
--- a/crates/mustardpin-node/src/control/thread.rs
+++ b/crates/mustardpin-node/src/control/thread.rs
@@ -17,12 +17,12 @@
     traffic::TrafficCommand,
 };
 
-/// Events taken in at most before a tick.
+/// The maximum number of events before a tick starts.
 const MAX_BATCH: usize = 1_024;
-/// The thread waits for input at least this long, however soon the world wants to be woken.
+/// The minimum time of one wait for input, however soon the world's next wake-up is due.
 const MIN_WAIT: Millis = Millis(1);
-/// The thread waits for input at most this long.
-const LONGEST_WAIT: Millis = Millis::from_secs(60);
+/// The maximum time of one wait for input.
+const MAX_WAIT: Millis = Millis::from_secs(60);
 /// The size of the thread's stack, in bytes. Decisions do not nest deeply.
 const STACK_BYTES: usize = 512 * 1024;
 
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// If the machine gives no thread.
+/// If the thread cannot be created.
 pub fn spawn(
     world: World,
     interfaces: Interfaces,
@@ -39,10 +39,10 @@
     let thread = Thread {
         world,
         interfaces,
-        orders: Vec::new(),
+        traffic_commands: Vec::new(),
         proposals: HashMap::new(),
         last_proposal: ProposalTicket(0),
-        wake: Millis::ZERO,
+        next_wake: Millis::ZERO,
     };
     let builder = Builder::new().name("control".into()).stack_size(STACK_BYTES);
     builder.spawn(move || thread.run(&inputs))
@@ -51,20 +51,20 @@
 struct Thread {
     world: World,
     interfaces: Interfaces,
-    /// Orders of the present tick for the traffic side.
-    orders: Vec<TrafficCommand>,
+    /// The current tick's commands to the traffic side.
+    traffic_commands: Vec<TrafficCommand>,
     proposals: HashMap<ProposalTicket, oneshot::Sender<ProposalResult>>,
     last_proposal: ProposalTicket,
-    wake: Millis,
+    next_wake: Millis,
 }
 
 impl Thread {
     fn run(mut self, inputs: &Receiver<Input>) {
         loop {
             let mut events = Vec::new();
-            match inputs.recv_timeout(self.wait()) {
+            match inputs.recv_timeout(self.timeout()) {
                 Ok(Input::Halt) | Err(RecvTimeoutError::Disconnected) => return,
-                Ok(input) => self.take(input, &mut events),
+                Ok(input) => self.process(input, &mut events),
                 Err(RecvTimeoutError::Timeout) => {}
             }
             while events.len() < MAX_BATCH
@@ -73,25 +73,25 @@
                 if let Input::Halt = input {
                     return;
                 }
-                self.take(input, &mut events);
+                self.process(input, &mut events);
             }
             self.tick(events);
         }
     }
 
-    /// How long to wait for input.
-    fn wait(&self) -> Duration {
-        let wait = (self.wake - self.interfaces.clock.now()).clamp(MIN_WAIT, LONGEST_WAIT);
+    /// Returns how long to wait for input.
+    fn timeout(&self) -> Duration {
+        let wait = (self.next_wake - self.interfaces.clock.now()).clamp(MIN_WAIT, MAX_WAIT);
         Duration::from_millis(wait.0)
     }
 
-    fn take(&mut self, input: Input, events: &mut Vec<Event>) {
+    fn process(&mut self, input: Input, events: &mut Vec<Event>) {
         match input {
             Input::Events(batch) if events.is_empty() => *events = batch,
             Input::Events(batch) => events.extend(batch),
-            Input::Proposed(proposal, answer) => {
+            Input::Proposed(proposal, sender) => {
                 self.last_proposal.0 += 1;
-                self.proposals.insert(self.last_proposal, answer);
+                self.proposals.insert(self.last_proposal, sender);
                 events.push(Event::Proposed(self.last_proposal, proposal));
             }
             Input::LogEntry(entry) => self.interfaces.log.write(entry),
@@ -100,7 +100,7 @@
                 events.push(Event::Reloaded(*options));
             }
             Input::Report(read) => read(&self.world),
-            // The loop ends on it before it gets here.
+            // `run` returns on `Halt` before it calls this function.
             Input::Halt => {}
         }
     }
@@ -108,15 +108,15 @@
     fn tick(&mut self, events: Vec<Event>) {
         let now = self.interfaces.clock.now();
         for command in self.world.tick(now, events) {
-            self.carry_out(command);
+            self.execute(command);
         }
-        if !self.orders.is_empty() {
-            self.interfaces.traffic.execute(std::mem::take(&mut self.orders));
+        if !self.traffic_commands.is_empty() {
+            self.interfaces.traffic.execute(std::mem::take(&mut self.traffic_commands));
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
-        let order = match command {
+    fn execute(&mut self, command: Command) {
+        let traffic_command = match command {
             Command::Run(run) => TrafficCommand::Run(run),
             Command::Forward(forward) => TrafficCommand::Forward(forward),
             Command::Finish { ticket, verdict, retries } => {
@@ -126,7 +126,7 @@
             Command::Send { to, message } => TrafficCommand::Send { to, message },
             Command::Link(announcement) => TrafficCommand::Link(announcement),
             Command::Unlink(node) => TrafficCommand::Unlink(node),
-            Command::Target(place) => TrafficCommand::Target(place),
+            Command::Target(address) => TrafficCommand::Target(address),
             Command::Publish { load, urgent } => TrafficCommand::Publish { load, urgent },
             Command::Callers(callers) => TrafficCommand::Callers(callers),
             Command::Ready(ready) => TrafficCommand::Ready(ready),
@@ -135,20 +135,20 @@
             Command::Store(ticket, operation) => {
                 return self.interfaces.store.submit(ticket, operation);
             }
-            Command::Answer(ticket, answer) => return self.answer(ticket, answer),
+            Command::Answer(ticket, result) => return self.send_result(ticket, result),
             Command::Log(entry) => return self.interfaces.log.write(entry),
             Command::Wake(at) => {
-                self.wake = at;
+                self.next_wake = at;
                 return;
             }
         };
-        self.orders.push(order);
+        self.traffic_commands.push(traffic_command);
     }
 
-    fn answer(&mut self, ticket: ProposalTicket, answer: ProposalResult) {
+    fn send_result(&mut self, ticket: ProposalTicket, result: ProposalResult) {
         if let Some(sender) = self.proposals.remove(&ticket) {
-            // The operator may have gone in the meantime.
-            let _ = sender.send(answer);
+            // Fails if the operator's request was dropped in the meantime.
+            let _ = sender.send(result);
         }
     }
 }
--- a/crates/mustardpin-node/src/launch.rs
+++ b/crates/mustardpin-node/src/launch.rs
@@ -1,4 +1,4 @@
-//! What a node needs to know to start.
+//! The parameters that a node starts with.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -14,53 +14,52 @@
 
 use crate::{control::Handle, log, store::Store};
 
-/// Makes the client to the platform's store. Replies go to the control thread; what has to wait
-/// runs on the runtime that it is called in.
+/// Creates the client of the platform's store. The client sends replies to the control thread, and
+/// runs its tasks on the runtime in whose context the factory is called.
 pub type StoreFactory = Box<dyn FnOnce(Handle) -> Box<dyn Store> + Send>;
 
-/// Everything a node is told when it starts.
+/// The parameters that a node starts with.
 pub struct Launch {
-    /// The name of the place that the process runs in. A process that takes its place has the same
-    /// name.
+    /// The node name. A process that replaces this one has the same name.
     pub name: CompactString,
     /// The name of the node's data centre.
     pub data_centre: CompactString,
     /// The service that the node's target belongs to.
     pub service: CompactString,
-    /// Where the node listens.
+    /// The addresses that the node listens on.
     pub addresses: Addresses,
     /// The digest of the credential that all nodes of the fleet share.
     pub fleet_credential: KeyDigest,
     /// The digest of the credential that operators show.
     pub operator_credential: KeyDigest,
-    /// What callers and targets say.
+    /// The dialect that callers and targets use.
     pub dialect: Arc<dyn Dialect>,
-    /// The client to the platform's store.
+    /// Creates the client of the platform's store.
     pub store: StoreFactory,
-    /// Addresses of nodes to ask for peers.
+    /// Addresses of nodes from which this node discovers its peers.
     pub seeds: Vec<SocketAddr>,
-    /// How log lines are written.
+    /// Options of the log.
     pub log: log::Options,
-    /// The file that the settings come from, to be read again when it changes.
+    /// The settings file, which is reloaded when it changes.
     pub settings_file: Option<PathBuf>,
-    /// What the process may use.
+    /// The resource limits of the process.
     pub limits: Limits,
     /// Options of the node's decisions.
     pub options: Options,
 }
 
-/// What stands at a node's borders and is not a matter of settings.
+/// The parameters of a node that do not come from the settings.
 pub struct Dependencies {
-    /// What callers and targets say.
+    /// The dialect that callers and targets use.
     pub dialect: Arc<dyn Dialect>,
-    /// The client to the platform's store.
+    /// Creates the client of the platform's store.
     pub store: StoreFactory,
-    /// The file that the settings come from, to be read again when it changes.
+    /// The settings file, which is reloaded when it changes.
     pub settings_file: Option<PathBuf>,
 }
 
 impl Launch {
-    /// What settings mean for a node.
+    /// Combines settings and dependencies.
     pub fn new(settings: Settings, dependencies: Dependencies) -> Launch {
         Launch {
             name: settings.name,
@@ -116,29 +115,29 @@
     }
 }
 
-/// Where a node listens. Port zero takes any free port.
+/// The addresses that a node listens on. Port zero takes any free port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
     /// HTTP from callers.
     pub callers: SocketAddr,
-    /// HTTP from the node's own target: its reports and the calls it makes.
+    /// HTTP from the local target: its reports and the calls it makes.
     pub local: Option<SocketAddr>,
-    /// HTTP from the node's own target: its reports only.
+    /// HTTP from the local target: its reports only.
     pub reports: Option<SocketAddr>,
-    /// Questions whether the node is ready.
+    /// Readiness checks.
     pub readiness: Option<SocketAddr>,
     /// Requests and messages from peers.
     pub peers: SocketAddr,
-    /// Where other nodes reach `peers`, if that is another address.
+    /// The address at which other nodes reach `peers`, if it is another one.
     pub announced: Option<SocketAddr>,
     /// The administration API.
     pub admin: Option<SocketAddr>,
-    /// Counters and histograms, for whoever collects them.
+    /// Counters and histograms, for metrics collectors.
     pub metrics: Option<SocketAddr>,
 }
 
 impl Addresses {
-    /// Free ports of the loopback interface.
+    /// Returns free ports of the loopback interface.
     ///
     /// ```
     /// assert!(mustardpin_node::launch::Addresses::loopback().callers.ip().is_loopback());
@@ -158,38 +157,37 @@
     }
 }
 
-/// What one process may use.
+/// The resource limits of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections at once, on each port.
+    /// The maximum number of connections at once, on each port.
     pub connections: usize,
-    /// Requests in progress at once.
+    /// The maximum number of requests in progress.
     pub requests: usize,
-    /// The size of a request's headers, in bytes.
+    /// The maximum size of a request's headers, in bytes.
     pub header_size: usize,
-    /// The size of a request's body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_size: usize,
-    /// The size of a request's body that is kept so that it can be sent again, in bytes.
+    /// The maximum size of a request's body that is buffered for retries, in bytes.
     pub retry_body_size: usize,
-    /// The size of all request bodies kept at once, in bytes.
+    /// The maximum size of all buffered request bodies together, in bytes.
     pub buffered_size: usize,
-    /// How long a request's headers may take to come.
+    /// The timeout for receiving a request's headers.
     pub header_timeout: Duration,
-    /// How long a sender may pause within a request's body.
+    /// The maximum pause while a request's body is received.
     pub body_timeout: Duration,
-    /// How long a connection may be idle.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Idle connections are closed when they have been idle for this long after the node began to
-    /// leave.
+    /// While the node is draining, the time after which an idle connection is closed.
     pub drain_idle_timeout: Duration,
-    /// How long connections may take to end once the node has finished all requests.
+    /// The time that connections have to end after the node has finished all requests.
     pub exit_grace: Duration,
-    /// Threads for traffic.
+    /// The number of traffic threads.
     pub traffic_threads: usize,
 }
 
 impl Limits {
-    /// What callers may send, where the configuration does not say.
+    /// Returns the limits for callers' requests that hold where the configuration sets none.
     pub(crate) fn callers(&self) -> Callers {
         let millis = |length: Duration| Millis(length.as_millis() as u64);
         Callers {
--- a/crates/mustardpin-node/src/lib.rs
+++ b/crates/mustardpin-node/src/lib.rs
@@ -1,9 +1,9 @@
 //! The node process as a library with a control thread, traffic, peers and administration.
 //!
-//! One thread owns the [`mustardpin_world::World`] and carries out its commands through trait
-//! objects: [`traffic::Traffic`], [`store::Store`], [`log::LogSink`] and [`clock::Clock`].
-//! Everything that waits for the network runs on other threads and tells the control thread through
-//! its channel, in batches.
+//! One thread owns the [`mustardpin_world::World`] and executes its commands through trait objects:
+//! [`traffic::Traffic`], [`store::Store`], [`log::LogSink`] and [`clock::Clock`]. Everything that
+//! waits for the network runs on other threads and sends events to the control thread through its
+//! channel, in batches.
 
 pub mod admin;
 pub mod clock;
--- a/crates/mustardpin-node/src/log.rs
+++ b/crates/mustardpin-node/src/log.rs
@@ -1,7 +1,7 @@
-//! Log lines: bounded in number, written to standard output by a thread of their own.
+//! The log: its rate is bounded, and a separate thread writes it to standard output.
 //!
-//! Whoever has a line to write never waits: lines beyond the budget, and lines for which the writer
-//! has no room, are left out and counted. The next line that is written says how many.
+//! Logging never blocks: entries beyond the budget, and entries that do not fit into the writer's
+//! queue, are dropped and counted. Their number is logged before the next entry that is written.
 
 mod budget;
 mod line;
@@ -17,28 +17,28 @@
 
 pub use self::writer::Output;
 
-/// Why no log can be written.
+/// Why the log could not be opened.
 #[derive(Debug)]
 #[derive(Display, Error, From)]
 pub enum Error {
-    /// The stream or its formatter could not be set up.
+    /// The output stream or its formatter could not be set up.
     #[display("cannot open the log")]
     Open(spdlog::Error),
-    /// The writer's thread could not be had.
-    #[display("cannot start the thread that writes the log")]
+    /// The writer thread could not be started.
+    #[display("cannot start the log writer thread")]
     Thread(io::Error),
 }
 
-/// Takes log lines.
+/// A receiver of log entries.
 pub trait LogSink: Send {
-    /// Writes a line, or leaves it out. Never waits.
+    /// Writes an entry, or drops it. Never blocks.
     fn write(&mut self, entry: Entry);
 
-    /// From now on, lines are chosen by these options. The format stays.
+    /// Applies another level and rate. The format stays.
     fn reload(&mut self, _options: Options) {}
 }
 
-/// What a line looks like.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Format {
     /// Text for people.
@@ -48,14 +48,14 @@
     Json,
 }
 
-/// How lines are written.
+/// Options of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// What a line looks like.
+    /// The format of a line.
     pub format: Format,
-    /// Lines below this level are left out.
+    /// Entries below this level are neither written nor counted as dropped.
     pub level: Level,
-    /// Lines a second at most.
+    /// The maximum number of lines per second.
     pub lines_per_second: u32,
 }
 
@@ -80,13 +80,13 @@
     }
 }
 
-/// The log of a process.
+/// The log of a process, on one output.
 pub struct Log {
     options: Options,
     budget: Budget,
     writer: Writer,
-    /// Lines left out since the last one that was written.
-    left_out: u64,
+    /// The number of entries that were dropped or could not be written, since it was last logged.
+    dropped: u64,
 }
 
 impl Log {
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// If the output cannot be used, or the machine gives no thread.
+    /// If the output cannot be used, or the thread cannot be created.
     ///
     /// ```
     /// use mustardpin_node::log::{LogSink as _, Log, Options, Output};
@@ -107,7 +107,7 @@
     pub fn open(options: Options, output: Output) -> Result<Log, Error> {
         let writer = Writer::start(output, options.format)?;
         let budget = Budget::new(options.lines_per_second, Instant::now());
-        Ok(Log { options, budget, writer, left_out: 0 })
+        Ok(Log { options, budget, writer, dropped: 0 })
     }
 }
 
@@ -117,23 +117,23 @@
             return;
         }
         if !self.budget.take(Instant::now(), entry.request.is_some()) {
-            self.left_out += 1;
+            self.dropped += 1;
             return;
         }
-        self.left_out += self.writer.take_failed();
-        if self.left_out > 0 {
-            let left_out = Entry::new(Level::Warn, "lines_left_out").with("count", self.left_out);
-            if self.writer.send(left_out) {
-                self.left_out = 0;
+        self.dropped += self.writer.take_failed();
+        if self.dropped > 0 {
+            let report = Entry::new(Level::Warn, "lines_left_out").with("count", self.dropped);
+            if self.writer.send(report) {
+                self.dropped = 0;
             }
         }
         if !self.writer.send(entry) {
-            self.left_out += 1;
+            self.dropped += 1;
         }
     }
 
     fn reload(&mut self, options: Options) {
         self.options = Options { format: self.options.format, ..options };
-        self.budget.refill_at(options.lines_per_second);
+        self.budget.set_rate(options.lines_per_second);
     }
 }
--- a/crates/mustardpin-node/src/log/budget.rs
+++ b/crates/mustardpin-node/src/log/budget.rs
@@ -1,44 +1,44 @@
-//! How many lines may be written: a token bucket, of which the last part is kept for lines that are
-//! not about a request.
+//! The rate limit of the log: a token bucket of which a part is reserved for entries that are not
+//! about a request.
 
 use std::time::Instant;
 
-/// A bucket holds the lines of so many seconds.
-const SECONDS: f64 = 2.0;
-/// The part of the bucket that lines about requests leave to the others.
-const KEPT: f64 = 0.2;
+/// The capacity of the bucket, as seconds of its rate.
+const CAPACITY_SECONDS: f64 = 2.0;
+/// The fraction of the bucket that is reserved for entries that are not about a request.
+const RESERVED_FRACTION: f64 = 0.2;
 
-/// The lines that may be written.
+/// The token bucket. One token is one line.
 #[derive(Debug)]
 pub(super) struct Budget {
-    per_second: f64,
-    lines: f64,
-    as_of: Instant,
+    lines_per_second: f64,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Budget {
-    /// A full budget of so many lines a second.
-    pub(super) fn new(per_second: u32, now: Instant) -> Budget {
-        let per_second = f64::from(per_second);
-        Budget { per_second, lines: per_second * SECONDS, as_of: now }
+    /// Creates a full bucket.
+    pub(super) fn new(lines_per_second: u32, now: Instant) -> Budget {
+        let lines_per_second = f64::from(lines_per_second);
+        Budget { lines_per_second, tokens: lines_per_second * CAPACITY_SECONDS, refilled_at: now }
     }
 
-    /// From now on there are so many lines a second.
-    pub(super) fn refill_at(&mut self, per_second: u32) {
-        self.per_second = f64::from(per_second);
+    /// Changes the rate.
+    pub(super) fn set_rate(&mut self, lines_per_second: u32) {
+        self.lines_per_second = f64::from(lines_per_second);
     }
 
-    /// Takes a line. Returns false if there is none left.
-    pub(super) fn take(&mut self, now: Instant, is_of_request: bool) -> bool {
-        let capacity = self.per_second * SECONDS;
-        let gained = now.duration_since(self.as_of).as_secs_f64() * self.per_second;
-        self.lines = (self.lines + gained).min(capacity);
-        self.as_of = now;
-        let kept = if is_of_request { capacity * KEPT } else { 0.0 };
-        if self.lines < kept + 1.0 {
+    /// Takes the token of one line. Returns false if there is none left.
+    pub(super) fn take(&mut self, now: Instant, is_about_request: bool) -> bool {
+        let capacity = self.lines_per_second * CAPACITY_SECONDS;
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.lines_per_second;
+        self.tokens = (self.tokens + refill).min(capacity);
+        self.refilled_at = now;
+        let reserved = if is_about_request { capacity * RESERVED_FRACTION } else { 0.0 };
+        if self.tokens < reserved + 1.0 {
             return false;
         }
-        self.lines -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/mustardpin-node/src/log/line.rs
+++ b/crates/mustardpin-node/src/log/line.rs
@@ -1,4 +1,4 @@
-//! What a line looks like.
+//! Formats log entries as lines.
 
 use std::{fmt::Write as _, time::SystemTime};
 
@@ -8,24 +8,24 @@
 
 use crate::log::Format;
 
-/// A line without its end.
-pub(super) fn write(format: Format, entry: &Entry, at: SystemTime) -> String {
+/// Formats an entry as a line without line end.
+pub(super) fn format_line(format: Format, entry: &Entry, at: SystemTime) -> String {
     match format {
         Format::Json => {
-            // Texts and numbers always become JSON.
+            // Serialising texts and numbers does not fail.
             serde_json::to_string(&Json { entry, at }).unwrap_or_default()
         }
         Format::Text => {
             let mut line = String::new();
             let time = format_rfc3339_millis(at);
-            // A string takes all text.
-            let _ = write!(line, "{time} {} {entry}", name(entry.level));
+            // Writing to a string does not fail.
+            let _ = write!(line, "{time} {} {entry}", level_name(entry.level));
             line
         }
     }
 }
 
-fn name(level: Level) -> &'static str {
+fn level_name(level: Level) -> &'static str {
     match level {
         Level::Info => "info",
         Level::Warn => "warn",
@@ -33,7 +33,7 @@
     }
 }
 
-/// A line as a JSON object.
+/// Serialises an entry as a JSON object.
 struct Json<'a> {
     entry: &'a Entry,
     at: SystemTime,
@@ -44,7 +44,7 @@
         let Json { entry, at } = self;
         let mut map = serializer.serialize_map(None)?;
         map.serialize_entry("time", &format_args!("{}", format_rfc3339_millis(*at)))?;
-        map.serialize_entry("level", name(entry.level))?;
+        map.serialize_entry("level", level_name(entry.level))?;
         map.serialize_entry("event", entry.event)?;
         if let Some(request) = &entry.request {
             map.serialize_entry("request", request)?;
--- a/crates/mustardpin-node/src/log/writer.rs
+++ b/crates/mustardpin-node/src/log/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes lines.
+//! The thread that writes log lines.
 
 use std::{
     io::{self, BufWriter, Write},
@@ -20,47 +20,48 @@
 
 use crate::log::{Error, Format, line};
 
-/// Lines that wait for the writer at most.
-const ROOM: usize = 4_096;
-/// After a line has come, the writer waits this long for more, and writes them together.
-const GATHER: Duration = Duration::from_millis(100);
-/// When the log is closed, the lines that are left may take this long.
-const LAST_LINES: Duration = Duration::from_millis(500);
-/// Lines that are written at once, in bytes.
+/// The maximum number of entries in the writer's queue.
+const QUEUE_CAPACITY: usize = 4_096;
+/// After an entry has arrived, the writer waits this long for more, and writes them together.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// The timeout for writing the queued entries when the log is closed.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The size of the buffer for standard output, in bytes.
 const BUFFER_BYTES: usize = 64 * 1024;
 /// The size of the thread's stack, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Where lines go.
+/// Where log lines are written.
 pub enum Output {
     /// The process's standard output.
     Standard,
-    /// Somewhere else.
+    /// Another writer.
     Other(Box<dyn Write + Send + Sync>),
 }
 
 impl Output {
     fn open(self) -> Box<dyn Write + Send + Sync> {
         match self {
-            // The buffer hands many lines at once to a handle that would write each by itself.
+            // Standard output is line-buffered; the buffer combines many lines into one write.
             Output::Standard => Box::new(BufWriter::with_capacity(BUFFER_BYTES, io::stdout())),
             Output::Other(output) => output,
         }
     }
 }
 
-/// A line to be written.
-struct Line {
+/// An entry and the time at which it was logged.
+struct QueuedEntry {
     entry: Entry,
     at: SystemTime,
 }
 
-/// The thread that writes lines.
+/// The handle of the writer thread. Dropping it waits until the queued entries are
+/// written, for at most `CLOSE_TIMEOUT`.
 pub(super) struct Writer {
-    lines: Option<SyncSender<Line>>,
-    /// Lines that could not be written.
+    queue: Option<SyncSender<QueuedEntry>>,
+    /// The number of lines that could not be written.
     failed: Arc<AtomicU64>,
-    /// Disconnected once the thread has written everything.
+    /// Disconnected when the thread has written everything.
     done: Receiver<()>,
 }
 
@@ -77,29 +78,29 @@
             .sink(sink)
             .level_filter(LevelFilter::All)
             .flush_level_filter(LevelFilter::Off)
-            // There is nowhere else to write that lines cannot be written.
+            // A write error cannot be logged, so it is counted.
             .error_handler(move |_: spdlog::Error| {
                 failures.fetch_add(1, Ordering::Relaxed);
             })
             .build_arc()?;
-        let (sender, lines) = sync_channel(ROOM);
-        let (writing, done) = sync_channel(0);
+        let (sender, queue) = sync_channel(QUEUE_CAPACITY);
+        let (running, done) = sync_channel(0);
         thread::Builder::new().name("log".into()).stack_size(STACK_BYTES).spawn(move || {
-            write(&logger, format, &lines);
-            drop(writing);
+            write_entries(&logger, format, &queue);
+            drop(running);
         })?;
-        Ok(Writer { lines: Some(sender), failed, done })
+        Ok(Writer { queue: Some(sender), failed, done })
     }
 
-    /// Hands a line to the thread. Returns false if there is no room for it.
+    /// Queues an entry for the thread. Returns false if the queue is full.
     pub(super) fn send(&self, entry: Entry) -> bool {
-        let line = Line { entry, at: SystemTime::now() };
-        self.lines.as_ref().is_some_and(|lines| lines.try_send(line).is_ok())
+        let queued = QueuedEntry { entry, at: SystemTime::now() };
+        self.queue.as_ref().is_some_and(|queue| queue.try_send(queued).is_ok())
     }
 }
 
 impl Writer {
-    /// Lines that could not be written since the last look.
+    /// Returns the number of lines that could not be written since the last call.
     pub(super) fn take_failed(&self) -> u64 {
         self.failed.swap(0, Ordering::Relaxed)
     }
@@ -107,22 +108,24 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        drop(self.lines.take());
-        // Ends with an error in any case: the thread is done, or takes too long.
-        let _ = self.done.recv_timeout(LAST_LINES);
+        drop(self.queue.take());
+        // Always returns an error: the thread has ended, or the timeout has expired.
+        let _ = self.done.recv_timeout(CLOSE_TIMEOUT);
     }
 }
 
-fn write(logger: &Arc<Logger>, format: Format, lines: &Receiver<Line>) {
-    while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
-        for Line { entry, at } in std::iter::once(first).chain(lines.try_iter().take(ROOM)) {
+fn write_entries(logger: &Arc<Logger>, format: Format, queue: &Receiver<QueuedEntry>) {
+    while let Ok(first) = queue.recv() {
+        thread::sleep(BATCH_DELAY);
+        for QueuedEntry { entry, at } in
+            std::iter::once(first).chain(queue.try_iter().take(QUEUE_CAPACITY))
+        {
             let level = match entry.level {
                 log::Level::Info => Level::Info,
                 log::Level::Warn => Level::Warn,
                 log::Level::Error => Level::Error,
             };
-            let line = line::write(format, &entry, at);
+            let line = line::format_line(format, &entry, at);
             spdlog::log!(logger: logger, level, "{line}");
         }
         logger.flush();
--- a/crates/mustardpin-node/src/metrics.rs
+++ b/crates/mustardpin-node/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters and histograms, served as text to whoever collects them.
+//! Counters, gauges and histograms, served as text to metrics collectors.
 //!
-//! Nothing is kept for this beside what the world counts anyway: each collection reads the tables
-//! between two ticks.
+//! There is no state besides the world's own counters: each collection reads the tables between two
+//! ticks.
 
 use std::{fmt, sync::Arc};
 
@@ -28,19 +28,19 @@
 
 use crate::{clock::Clock, control::Handle, server::Service};
 
-/// The media type of the text.
+/// The media type of the response.
 const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const PREFIX: &str = "mustardpin";
 const MILLIS_IN_SECOND: f64 = 1_000.0;
 
-/// The page that collectors read.
+/// Serves the metrics of a node.
 pub struct MetricsService {
     control: Handle,
     clock: Arc<dyn Clock>,
 }
 
 impl MetricsService {
-    /// A page about the node behind this control thread.
+    /// Creates a service for the node of this control thread.
     pub fn new(control: Handle, clock: Arc<dyn Clock>) -> MetricsService {
         MetricsService { control, clock }
     }
@@ -76,11 +76,11 @@
     }
 }
 
-/// A snapshot as text.
+/// Encodes a snapshot as text.
 ///
 /// # Errors
 ///
-/// Never, for the names that there are.
+/// If the encoder fails; it does not for the metrics' names.
 ///
 /// ```
 /// use mustardpin_node::metrics::{Snapshot, encode};
@@ -95,7 +95,7 @@
     Ok(text)
 }
 
-/// What is told of a node at one moment.
+/// The metrics of a node at one moment.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     refusals: Vec<(String, u64)>,
@@ -107,7 +107,7 @@
 }
 
 impl Snapshot {
-    /// What the tables say.
+    /// Reads the metrics from the world's tables.
     pub fn of(world: &World, now: Millis) -> Snapshot {
         let tables = world.tables();
         let (counters, latencies) = (&tables.counters, &tables.latencies);
@@ -135,26 +135,30 @@
 fn gauges(world: &World, now: Millis) -> Vec<(&'static str, &'static str, f64)> {
     let tables = world.tables();
     let target = &tables.target;
-    let reached = tables.peers.iter().filter(|(_, peer)| Peer::is_open(peer)).count();
+    let open_peers = tables.peers.iter().filter(|(_, peer)| Peer::is_open(peer)).count();
     let age = tables.freshness.configuration_age(now).min(now);
     vec![
         ("calls", "Requests in progress", tables.calls.len() as f64),
-        ("target_open", "Whether the own target takes requests", flag(target.is_open())),
-        ("target_running", "Requests running on the own target", target.running.into()),
-        ("target_queued", "Requests waiting for the own target", target.queued.into()),
-        ("target_limit", "Requests that may run on the own target at once", target.limit.into()),
+        ("target_open", "Whether the local target takes requests", flag(target.is_open())),
+        ("target_running", "Requests running on the local target", target.running.into()),
+        ("target_queued", "Requests waiting for the local target", target.queued.into()),
+        ("target_limit", "Requests that may run on the local target at once", target.limit.into()),
         ("peers", "Peers that the node knows", tables.peers.len() as f64),
-        ("peers_open", "Peers that take requests", reached as f64),
-        ("leaving", "Whether the node is leaving", flag(tables.leaving)),
+        ("peers_open", "Peers that take requests", open_peers as f64),
+        ("leaving", "Whether the node is draining", flag(tables.leaving)),
         (
             "configuration_revision",
-            "The configuration in force",
+            "The revision of the configuration in use",
             tables.configuration.revision.0 as f64,
         ),
-        ("configuration_age_seconds", "The age of the node's knowledge of it", seconds(age)),
+        (
+            "configuration_age_seconds",
+            "The time since the node knew the configuration to be current",
+            seconds(age),
+        ),
         (
             "cut_off",
-            "Whether the node may not judge keys any more",
+            "Whether the node's configuration is too old to decide on keys",
             flag(tables.freshness.is_cut_off),
         ),
         ("suspects", "Requests that may crash targets", tables.suspects.len() as f64),
@@ -171,29 +175,29 @@
 
 impl Collector for Snapshot {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        counters(&mut encoder, "refusals", "Requests refused", "reason", &self.refusals)?;
-        counters(&mut encoder, "retries", "Requests tried again", "cause", &self.retries)?;
-        counters(&mut encoder, "work", "Work done", "kind", &self.work)?;
+        encode_counters(&mut encoder, "refusals", "Requests refused", "reason", &self.refusals)?;
+        encode_counters(&mut encoder, "retries", "Requests retried", "cause", &self.retries)?;
+        encode_counters(&mut encoder, "work", "Work done", "kind", &self.work)?;
         for (name, help, value) in &self.gauges {
             let gauge = ConstGauge::new(*value);
             gauge.encode(encoder.encode_descriptor(name, help, None, MetricType::Gauge)?)?;
         }
         let help = "How long requests took";
-        let mut metric = histogram(&mut encoder, "request_duration_seconds", help)?;
+        let mut metric = describe_histogram(&mut encoder, "request_duration_seconds", help)?;
         for (labels, histogram) in &self.requests {
             let labels = labels.as_slice();
-            observed(metric.encode_family(&labels)?, histogram)?;
+            encode_histogram(metric.encode_family(&labels)?, histogram)?;
         }
         let help = "How long steps took";
-        let mut metric = histogram(&mut encoder, "step_duration_seconds", help)?;
+        let mut metric = describe_histogram(&mut encoder, "step_duration_seconds", help)?;
         for (step, histogram) in &self.steps {
-            observed(metric.encode_family(&[("step", step.as_str())])?, histogram)?;
+            encode_histogram(metric.encode_family(&[("step", step.as_str())])?, histogram)?;
         }
         Ok(())
     }
 }
 
-fn counters(
+fn encode_counters(
     encoder: &mut DescriptorEncoder<'_>,
     name: &str,
     help: &str,
@@ -208,7 +212,7 @@
     Ok(())
 }
 
-fn histogram<'a>(
+fn describe_histogram<'a>(
     encoder: &'a mut DescriptorEncoder<'_>,
     name: &'a str,
     help: &str,
@@ -216,10 +220,13 @@
     encoder.encode_descriptor(name, help, None, MetricType::Histogram)
 }
 
-fn observed(mut metric: MetricEncoder<'_>, histogram: &Histogram) -> Result<(), fmt::Error> {
-    let bound = |bound: Option<Millis>| bound.map_or(f64::MAX, seconds);
+fn encode_histogram(
+    mut metric: MetricEncoder<'_>,
+    histogram: &Histogram,
+) -> Result<(), fmt::Error> {
+    let upper_seconds = |bound: Option<Millis>| bound.map_or(f64::MAX, seconds);
     let buckets: Vec<(f64, u64)> =
-        histogram.buckets().map(|(upper, count)| (bound(upper), count)).collect();
+        histogram.buckets().map(|(upper, count)| (upper_seconds(upper), count)).collect();
     let (sum, count) = (seconds(histogram.sum), histogram.count());
     metric.encode_histogram::<NoLabelSet>(sum, count, &buckets, None)
 }
--- a/crates/mustardpin-node/src/node.rs
+++ b/crates/mustardpin-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts a node, and lets it end.
+//! Starts a node and shuts it down.
 
 use std::{
     io,
@@ -25,7 +25,7 @@
     control::{self, Handle, Interfaces},
     launch::{Addresses, Launch, Limits},
     log, metrics,
-    reload::Watch,
+    reload::SettingsWatcher,
     server,
     traffic::{self, Credentials, Dispatcher, Exchanges, ListenerKind, Setup, Stage},
 };
@@ -37,18 +37,18 @@
 #[derive(Debug)]
 #[derive(Display, Error, From)]
 pub enum Error {
-    /// A thread or a signal handler could not be had.
+    /// A thread or a signal handler could not be created.
     #[display("cannot start the node's threads")]
     Threads(io::Error),
-    /// An address could not be listened on.
+    /// Listening on an address failed.
     #[display("cannot listen on {address} for {side}")]
     #[from(skip)]
     Listen {
         /// What the address is for.
         side: &'static str,
-        /// The address.
+        /// The address that the node tried to listen on.
         address: SocketAddr,
-        /// Why.
+        /// The I/O error of the operating system.
         source: io::Error,
     },
     /// The log could not be opened.
@@ -56,25 +56,25 @@
     Log(log::Error),
 }
 
-/// A node that runs.
+/// A running node.
 pub struct Node {
     addresses: Addresses,
     announcement: Announcement,
     control: Handle,
     control_thread: JoinHandle<()>,
     traffic_thread: JoinHandle<()>,
-    /// Dropping it ends the traffic threads.
+    /// Dropping this sender ends the traffic threads.
     traffic: oneshot::Sender<()>,
-    /// Says once that the node has left.
-    left: mpsc::Receiver<()>,
+    /// Receives one message when the node has drained and its connections have ended.
+    finished: mpsc::Receiver<()>,
     runtime: runtime::Handle,
 }
 
-/// Runs a node until it has been asked to stop by a signal and has finished every request.
+/// Runs a node until a signal has stopped it and it has finished every request.
 ///
 /// # Errors
 ///
-/// If it could not start.
+/// If the node could not start.
 pub fn run(launch: Launch) -> Result<(), Error> {
     let node = Node::start(launch)?;
     node.stop_on_signal()?;
@@ -87,9 +87,9 @@
     ///
     /// # Errors
     ///
-    /// If an address cannot be listened on, or the machine gives no thread.
+    /// If listening on an address fails, or a thread cannot be created.
     pub fn start(launch: Launch) -> Result<Node, Error> {
-        let runtime = runtime_of(&launch.limits)?;
+        let runtime = build_runtime(&launch.limits)?;
         let handle = runtime.handle().clone();
         let mut listeners = runtime.block_on(Listeners::open(&launch.addresses))?;
         let addresses = listeners.addresses()?;
@@ -102,7 +102,7 @@
         };
         let clock = Arc::new(BootClock::start());
         let (control, inputs) = Handle::channel();
-        let board = Exchanges::new(Setup {
+        let exchanges = Exchanges::new(Setup {
             control: control.clone(),
             clock: Arc::clone(&clock) as _,
             limits: launch.limits,
@@ -113,7 +113,7 @@
                 fleet: launch.fleet_credential,
             },
         });
-        let (dispatcher, dispatching) = Dispatcher::new(Arc::clone(&board));
+        let (dispatcher, dispatching) = Dispatcher::new(Arc::clone(&exchanges));
         let _guard = handle.enter();
         let interfaces = Interfaces {
             clock: Arc::clone(&clock) as _,
@@ -125,34 +125,38 @@
         let world = World::new(identity, launch.options, rand::random());
         let control_thread = control::spawn(world, interfaces, inputs)?;
         handle.spawn(dispatching);
-        handle.spawn(Arc::clone(&board).send_events());
-        handle.spawn(Arc::clone(&board).send_lag_probes());
+        handle.spawn(Arc::clone(&exchanges).send_events());
+        handle.spawn(Arc::clone(&exchanges).send_lag_probes());
         for &seed in &launch.seeds {
-            handle.spawn(traffic::discover(Arc::clone(&board), seed));
+            handle.spawn(traffic::discover(Arc::clone(&exchanges), seed));
         }
         let connections = TaskTracker::new();
         if let Some(listener) = listeners.admin.take() {
             let bridge = admin::Bridge::new(control.clone(), Arc::clone(&clock) as _);
-            let desk = admin::AdminService::new(launch.operator_credential, Arc::new(bridge));
-            handle.spawn(server::serve(listener, Arc::new(desk), server::Limits::default()));
+            let service = admin::AdminService::new(launch.operator_credential, Arc::new(bridge));
+            handle.spawn(server::serve(listener, Arc::new(service), server::Limits::default()));
         }
         if let Some(listener) = listeners.metrics.take() {
-            let page = metrics::MetricsService::new(control.clone(), clock);
-            handle.spawn(server::serve(listener, Arc::new(page), server::Limits::default()));
+            let metrics_service = metrics::MetricsService::new(control.clone(), clock);
+            handle.spawn(server::serve(
+                listener,
+                Arc::new(metrics_service),
+                server::Limits::default(),
+            ));
         }
         if let Some(file) = launch.settings_file {
-            handle.spawn(Watch::new(file, control.clone()).run());
+            handle.spawn(SettingsWatcher::new(file, control.clone()).run());
         }
-        listeners.serve(&board, &connections);
-        let (leaving, left) = mpsc::channel();
-        handle.spawn(leave(board, connections, launch.limits, leaving));
-        let (traffic, ending) = oneshot::channel::<()>();
+        listeners.serve(&exchanges, &connections);
+        let (finished_sender, finished) = mpsc::channel();
+        handle.spawn(shut_down(exchanges, connections, launch.limits, finished_sender));
+        let (traffic, stop_receiver) = oneshot::channel::<()>();
         let traffic_thread = thread::Builder::new()
             .name("traffic".into())
             .stack_size(STACK_BYTES)
             .spawn(move || {
-                // Ends when the other side is dropped.
-                let _ = runtime.block_on(ending);
+                // Returns when `Node::traffic` is dropped.
+                let _ = runtime.block_on(stop_receiver);
                 runtime.shutdown_background();
             })?;
         Ok(Node {
@@ -162,44 +166,44 @@
             control_thread,
             traffic_thread,
             traffic,
-            left,
+            finished,
             runtime: handle,
         })
     }
 
-    /// Where the node listens.
+    /// Returns the addresses that the node listens on.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// What the node tells others of itself.
+    /// Returns the node's announcement to other nodes.
     pub fn announcement(&self) -> &Announcement {
         &self.announcement
     }
 
-    /// The way to the control thread.
+    /// Returns the handle to the control thread.
     pub fn control(&self) -> &Handle {
         &self.control
     }
 
-    /// Asks the node to leave, as the signal to terminate does.
+    /// Starts a graceful shutdown, as SIGTERM does.
     pub fn stop(&self) {
         self.control.event(Event::Stop);
     }
 
-    /// Waits until the node has left: no request is in progress and all connections have ended,
-    /// or have been given the time of [`Limits::exit_grace`].
+    /// Waits until the node has shut down: no request is in progress, and all connections have
+    /// ended or [`Limits::exit_grace`] has passed.
     pub fn wait(self) {
-        // Fails only if the traffic threads have ended by themselves.
-        let _ = self.left.recv();
+        // Fails only if the traffic threads have already ended.
+        let _ = self.finished.recv();
         self.kill();
     }
 
-    /// Ends the node at once, as a crash would.
+    /// Ends the node immediately, as a crash would.
     pub fn kill(self) {
         self.control.halt();
         drop(self.traffic);
-        // A thread that panicked has reported so itself.
+        // A thread that panicked has already reported it.
         let _ = self.traffic_thread.join();
         let _ = self.control_thread.join();
     }
@@ -219,8 +223,8 @@
     }
 }
 
-/// One thread runs everything by turns; several share the work.
-fn runtime_of(limits: &Limits) -> io::Result<runtime::Runtime> {
+/// Builds the runtime of the traffic threads: single-threaded for one thread, else multi-threaded.
+fn build_runtime(limits: &Limits) -> io::Result<runtime::Runtime> {
     let mut builder = match limits.traffic_threads {
         0 | 1 => runtime::Builder::new_current_thread(),
         _ => runtime::Builder::new_multi_thread(),
@@ -233,24 +237,24 @@
         .build()
 }
 
-/// Waits until the node has finished, and lets connections end.
-async fn leave(
-    board: Arc<Exchanges>,
+/// Waits until the node has finished all requests, and then for connections to end.
+async fn shut_down(
+    exchanges: Arc<Exchanges>,
     connections: TaskTracker,
     limits: Limits,
-    left: mpsc::Sender<()>,
+    finished: mpsc::Sender<()>,
 ) {
-    let mut stage = board.stage();
-    // Fails only if the board is gone, which this task holds.
+    let mut stage = exchanges.stage();
+    // Fails only if `exchanges` is dropped, which this task holds.
     let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
-    let linger = time::sleep(limits.drain_idle_timeout);
+    let drain_timeout = time::sleep(limits.drain_idle_timeout);
     let _ = stage.wait_for(|stage| *stage == Stage::Exiting).await;
-    linger.await;
+    drain_timeout.await;
     connections.close();
-    // What still stalls after this time is cut off.
+    // Connections that are still open after this time are aborted.
     let _ = time::timeout(limits.exit_grace, connections.wait()).await;
-    // Nobody may be waiting.
-    let _ = left.send(());
+    // Fails if the `Node` was dropped.
+    let _ = finished.send(());
 }
 
 struct Listeners {
@@ -268,8 +272,8 @@
     async fn open(addresses: &Addresses) -> Result<Listeners, Error> {
         Ok(Listeners {
             callers: listen("callers", addresses.callers).await?,
-            local: listen_if("the own target", addresses.local).await?,
-            reports: listen_if("reports of the own target", addresses.reports).await?,
+            local: listen_if("the local target", addresses.local).await?,
+            reports: listen_if("reports of the local target", addresses.reports).await?,
             readiness: listen_if("readiness checks", addresses.readiness).await?,
             peers: listen("peers", addresses.peers).await?,
             announced: addresses.announced,
@@ -295,19 +299,19 @@
     }
 
     /// Serves connections of callers, targets and peers.
-    fn serve(self, board: &Arc<Exchanges>, connections: &TaskTracker) {
-        let doors = [
+    fn serve(self, exchanges: &Arc<Exchanges>, connections: &TaskTracker) {
+        let listeners = [
             (Some(self.callers), ListenerKind::Callers),
             (self.local, ListenerKind::Local),
             (self.reports, ListenerKind::Reports),
             (self.readiness, ListenerKind::Readiness),
             (Some(self.peers), ListenerKind::Peers),
         ];
-        for (listener, door) in doors {
+        for (listener, kind) in listeners {
             let Some(listener) = listener else { continue };
-            let (board, connections) = (Arc::clone(board), connections.clone());
-            let serving = traffic::serve(listener, door, board, connections.clone());
-            connections.spawn(serving);
+            let (exchanges, connections) = (Arc::clone(exchanges), connections.clone());
+            let task = traffic::serve(listener, kind, exchanges, connections.clone());
+            connections.spawn(task);
         }
     }
 }
--- a/crates/mustardpin-node/src/reload.rs
+++ b/crates/mustardpin-node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when their file changes, or on SIGHUP.
+//! Reloads the settings when their file changes, or on SIGHUP.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -11,65 +11,65 @@
 
 use crate::control::Handle;
 
-/// The time between two looks at the file.
-const LOOK_PERIOD: Duration = Duration::from_secs(2);
+/// The interval between two reads of the file.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Watches a settings file.
-pub struct Watch {
+/// Polls a settings file for changes.
+pub struct SettingsWatcher {
     file: PathBuf,
-    /// What stood in the file that is in force.
+    /// The text of the file when it was last read.
     text: String,
-    /// Looks in a row that did not find the file.
-    misses: u32,
+    /// The number of consecutive reads that failed.
+    failed_reads: u32,
     control: Handle,
 }
 
-impl Watch {
-    /// Watches the file that the settings in force come from.
-    pub fn new(file: PathBuf, control: Handle) -> Watch {
-        // A file that cannot be read any more counts as changed once it can.
+impl SettingsWatcher {
+    /// Creates a watcher of the file from which the current settings were read.
+    pub fn new(file: PathBuf, control: Handle) -> SettingsWatcher {
+        // If the file cannot be read now, it counts as changed as soon as it can.
         let text = std::fs::read_to_string(&file).unwrap_or_default();
-        Watch { file, text, misses: 0, control }
+        SettingsWatcher { file, text, failed_reads: 0, control }
     }
 
-    /// Watches until the runtime ends.
+    /// Polls the file until the runtime ends.
     pub async fn run(mut self) {
         let mut signals = match signal(SignalKind::hangup()) {
             Ok(signals) => signals,
             Err(error) => return self.refuse(&error),
         };
         loop {
-            let is_asked = tokio::select! {
+            let is_requested = tokio::select! {
                 signal = signals.recv() => signal.is_some(),
-                () = time::sleep(LOOK_PERIOD) => false,
+                () = time::sleep(POLL_INTERVAL) => false,
             };
-            self.look(is_asked);
+            self.check(is_requested);
         }
     }
 
-    /// Reads the file, and puts what stands there in force if it has changed or someone asked.
-    fn look(&mut self, is_asked: bool) {
+    /// Reads the file, and applies the settings if it has changed or SIGHUP was received.
+    fn check(&mut self, is_requested: bool) {
         let text = match std::fs::read_to_string(&self.file) {
             Ok(text) => text,
             Err(error) => {
-                self.misses += 1;
-                // It may be in the middle of being replaced, so one miss says nothing.
-                if is_asked || self.misses == 2 {
+                self.failed_reads += 1;
+                // The file may be in the middle of a replacement, so a single failure is ignored.
+                if is_requested || self.failed_reads == 2 {
                     self.refuse(&error);
                 }
                 return;
             }
         };
-        self.misses = 0;
+        self.failed_reads = 0;
         let has_changed = text != self.text;
-        if !has_changed && !is_asked {
+        if !has_changed && !is_requested {
             return;
         }
         match Settings::parse(&self.file, &text) {
             Ok(settings) => {
                 let entry = Entry::new(Level::Info, "settings_reloaded")
                     .with("changed", has_changed)
-                    .with("asked", is_asked);
+                    .with("asked", is_requested);
                 self.control.write_log(entry);
                 self.control.reload(settings.log.into(), settings.options);
             }
@@ -78,7 +78,7 @@
         self.text = text;
     }
 
-    /// The settings in force stay so.
+    /// Logs why the new settings were refused. The current settings stay in use.
     fn refuse(&self, error: &dyn std::error::Error) {
         let entry = Entry::new(Level::Error, "settings_refused").with("cause", error.to_string());
         self.control.write_log(entry);
--- a/crates/mustardpin-node/src/server.rs
+++ b/crates/mustardpin-node/src/server.rs
@@ -1,4 +1,4 @@
-//! Small HTTP services on listeners of their own.
+//! Serves the administration API and the metrics over HTTP, each on a listener of its own.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -16,28 +16,28 @@
     sync::Semaphore,
 };
 
-/// How long to wait after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The delay before accepting again after `accept` failed.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Answers requests.
+/// Responds to HTTP requests.
 pub trait Service: Send + Sync + 'static {
-    /// Answers one request.
+    /// Responds to one request.
     fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Full<Bytes>>>;
 }
 
-/// What a service may use.
+/// The resource limits of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections at once.
+    /// The maximum number of connections at once.
     pub connections: usize,
-    /// The size of a request's headers, in bytes.
+    /// The maximum size of a request's headers, in bytes.
     pub header_size: usize,
-    /// How long the headers of a request may take.
+    /// The timeout for receiving a request's headers.
     pub header_timeout: Duration,
-    /// How long a connection may stay open.
+    /// The time after which a connection is closed.
     pub connection_timeout: Duration,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Serves until the task is dropped.
+/// Accepts and serves connections until the task is dropped.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -62,8 +62,8 @@
 ///
 /// async fn start(control: Arc<dyn Control>) -> std::io::Result<()> {
 ///     let listener = tokio::net::TcpListener::bind("127.0.0.1:7004").await?;
-///     let desk = AdminService::new(KeyDigest::of("an-operator-credential"), control);
-///     serve(listener, Arc::new(desk), Limits::default()).await;
+///     let service = AdminService::new(KeyDigest::of("an-operator-credential"), control);
+///     serve(listener, Arc::new(service), Limits::default()).await;
 ///     Ok(())
 /// }
 /// ```
@@ -71,15 +71,15 @@
     let permits = Arc::new(Semaphore::new(limits.connections));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        // Above the limit, a connection is closed at once.
+        // Connections above the limit are closed immediately.
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else { continue };
         let service = Arc::clone(&service);
         tokio::spawn(async move {
             let connection = serve_connection(stream, service, limits);
-            let _ended = tokio::time::timeout(limits.connection_timeout, connection).await;
+            let _result = tokio::time::timeout(limits.connection_timeout, connection).await;
             drop(permit);
         });
     }
@@ -97,5 +97,5 @@
         .header_read_timeout(limits.header_timeout)
         .max_buf_size(limits.header_size);
     builder.http2().max_header_list_size(limits.header_size as u32);
-    let _broken_by_the_client = builder.serve_connection(TokioIo::new(stream), service).await;
+    let _client_error = builder.serve_connection(TokioIo::new(stream), service).await;
 }
--- a/crates/mustardpin-node/src/store.rs
+++ b/crates/mustardpin-node/src/store.rs
@@ -1,9 +1,10 @@
-//! The platform's store, asked on behalf of the world.
+//! The interface to the platform's store.
 
 use mustardpin_world::store::{Operation, Ticket};
 
-/// Asks the store.
+/// A client of the platform's store.
 pub trait Store: Send {
-    /// Asks without waiting. The reply comes as an event, also if there is no answer in time.
+    /// Submits an operation without waiting. The control thread receives the reply as an event,
+    /// also if the store does not reply in time.
     fn submit(&mut self, ticket: Ticket, operation: Operation);
 }
