--- a/crates/mustardpin-node/tests/testsuite/admin.rs
+++ b/crates/mustardpin-node/tests/testsuite/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API: what operators send and what they get back.
+//! The administration API: requests of operators and the responses to them.
 
 use std::{fmt::Write as _, sync::Arc};
 
@@ -16,8 +16,8 @@
     store::Announcement,
 };
 
-/// Accepts a change, or answers as its change id says.
-struct Script;
+/// A control thread that accepts each change, or fails in the way that the change id names.
+struct FakeControl;
 
 fn world() -> World {
     let announcement = Announcement {
@@ -30,10 +30,10 @@
     World::new(Identity { announcement }, Options::default(), 42)
 }
 
-impl Control for Script {
+impl Control for FakeControl {
     fn propose(&self, proposal: Proposal) -> BoxFuture<'_, Result<ProposalResult, Stopping>> {
         let path = Path { kind: Kind::Team, name: "garages".into() };
-        let answer = match proposal.id.as_str() {
+        let result = match proposal.id.as_str() {
             "conflict" => Err(ChangeError::Conflict {
                 expected: proposal.expected,
                 actual: Revision(9),
@@ -44,7 +44,7 @@
             "stopping" => return Box::pin(async { Err(Stopping) }),
             _ => Ok(Revision(proposal.expected.0 + 1)),
         };
-        Box::pin(async { Ok(answer) })
+        Box::pin(async { Ok(result) })
     }
 
     fn status(&self) -> BoxFuture<'_, Result<Status, Stopping>> {
@@ -58,26 +58,26 @@
 
 const CREDENTIAL: &str = "an-operator-credential";
 
-async fn ask(method: &str, path: &str, credential: &str, body: &str) -> String {
-    let desk = AdminService::new(KeyDigest::of(CREDENTIAL), Arc::new(Script));
+async fn send(method: &str, path: &str, credential: &str, body: &str) -> String {
+    let service = AdminService::new(KeyDigest::of(CREDENTIAL), Arc::new(FakeControl));
     let request = Request::builder()
         .method(method)
         .uri(path)
         .header("authorization", credential)
         .body(Full::new(Bytes::from(body.to_owned())))
         .expect("a well-formed request");
-    let response = desk.respond(request).await;
+    let response = service.respond(request).await;
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.expect("a body in memory").to_bytes();
     format!("{status} {}", String::from_utf8_lossy(&body))
 }
 
 #[tokio::test]
-async fn only_operators_are_answered() {
+async fn requests_without_the_credential_are_refused() {
     let mut log = String::new();
     for credential in ["", "Bearer", "Bearer wrong", "an-operator-credential"] {
-        let answer = ask("GET", "/admin/status", credential, "").await;
-        writeln!(log, "{credential:?}: {answer}").expect("a string grows");
+        let response = send("GET", "/admin/status", credential, "").await;
+        writeln!(log, "{credential:?}: {response}").expect("a string accepts all writes");
     }
     insta::assert_snapshot!(log);
 }
@@ -119,10 +119,11 @@
     ];
     let mut log = String::new();
     for (method, path, body) in cases {
-        let answer = ask(method, path, &format!("Bearer {CREDENTIAL}"), &body).await;
+        let response = send(method, path, &format!("Bearer {CREDENTIAL}"), &body).await;
         let shown: String = body.split_whitespace().collect::<Vec<_>>().join(" ");
         let shown: String = shown.chars().take(200).collect();
-        writeln!(log, "{method} {path} {shown}\n  {answer}").expect("a string grows");
+        writeln!(log, "{method} {path} {shown}\n  {response}")
+            .expect("a string accepts all writes");
     }
     insta::assert_snapshot!(log);
 }
--- a/crates/mustardpin-node/tests/testsuite/control.rs
+++ b/crates/mustardpin-node/tests/testsuite/control.rs
@@ -1,4 +1,4 @@
-//! The control thread, with fakes at its interfaces.
+//! The control thread, with fakes of its interfaces.
 
 use std::{
     sync::{
@@ -25,17 +25,21 @@
 
 use crate::fake::wait_until;
 
-/// Stands at every border. Counts how often the time is asked for, and keeps log lines.
+/// A fake of every interface. Counts how often the clock is read, and stores log entries.
 #[derive(Clone)]
-pub struct Silence {
+pub struct FakeInterfaces {
     clock: BootClock,
-    asked: Arc<AtomicUsize>,
+    clock_reads: Arc<AtomicUsize>,
     entries: Arc<Mutex<Vec<Entry>>>,
 }
 
-impl Silence {
-    fn new() -> Silence {
-        Silence { clock: BootClock::start(), asked: Arc::default(), entries: Arc::default() }
+impl FakeInterfaces {
+    fn new() -> FakeInterfaces {
+        FakeInterfaces {
+            clock: BootClock::start(),
+            clock_reads: Arc::default(),
+            entries: Arc::default(),
+        }
     }
 
     fn has_logged(&self, event: &str) -> bool {
@@ -47,29 +51,29 @@
     }
 }
 
-impl Clock for Silence {
+impl Clock for FakeInterfaces {
     fn now(&self) -> Millis {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.clock_reads.fetch_add(1, Ordering::Relaxed);
         self.clock.now()
     }
 }
 
-impl Store for Silence {
+impl Store for FakeInterfaces {
     fn submit(&mut self, _: Ticket, _: Operation) {}
 }
 
-impl LogSink for Silence {
+impl LogSink for FakeInterfaces {
     fn write(&mut self, entry: Entry) {
         self.entries.lock().expect("no panic holds the lock").push(entry);
     }
 }
 
-impl Traffic for Silence {
+impl Traffic for FakeInterfaces {
     fn execute(&mut self, _: Vec<TrafficCommand>) {}
 }
 
-/// A control thread of a node whose store never answers.
-fn start(silence: &Silence) -> Handle {
+/// Starts the control thread of a node whose store never replies.
+fn start(fakes: &FakeInterfaces) -> Handle {
     let announcement = Announcement {
         node: NodeId(1),
         name: "north-1".into(),
@@ -80,31 +84,31 @@
     let world = World::new(Identity { announcement }, Options::default(), 1);
     let (control, inputs) = Handle::channel();
     let interfaces = Interfaces {
-        clock: Arc::new(silence.clone()),
-        store: Box::new(silence.clone()),
-        traffic: Box::new(silence.clone()),
-        log: Box::new(silence.clone()),
+        clock: Arc::new(fakes.clone()),
+        store: Box::new(fakes.clone()),
+        traffic: Box::new(fakes.clone()),
+        log: Box::new(fakes.clone()),
     };
     control::spawn(world, interfaces, inputs).expect("a thread");
     control
 }
 
 #[test]
-fn the_thread_sleeps_while_nothing_happens() {
-    let silence = Silence::new();
-    let control = start(&silence);
+fn the_thread_sleeps_while_there_is_no_input() {
+    let fakes = FakeInterfaces::new();
+    let control = start(&fakes);
     thread::sleep(Duration::from_secs(3));
     control.halt();
-    // The store never answers. Ten ticks a second are more than any system needs; each tick asks
-    // for the time twice.
-    let asked = silence.asked.load(Ordering::Relaxed);
-    assert!(asked < 3 * 10 * 2, "the time was asked for {asked} times in three seconds");
+    // The store never replies. Ten ticks a second are more than any system needs; each tick reads
+    // the clock twice.
+    let clock_reads = fakes.clock_reads.load(Ordering::Relaxed);
+    assert!(clock_reads < 3 * 10 * 2, "the clock was read {clock_reads} times in three seconds");
 }
 
 #[test]
-fn other_settings_are_in_force_at_once() {
-    let silence = Silence::new();
-    let control = start(&silence);
+fn changed_settings_apply_at_once() {
+    let fakes = FakeInterfaces::new();
+    let control = start(&fakes);
     let mut options = Options::default();
     options.stop.stay = Millis(7);
     control.reload(Default::default(), options);
@@ -113,6 +117,6 @@
         let stay = control.report(|world| world.options().stop.stay);
         runtime.block_on(stay) == Ok(Millis(7))
     });
-    assert!(silence.has_logged("started"));
+    assert!(fakes.has_logged("started"));
     control.halt();
 }
--- a/crates/mustardpin-node/tests/testsuite/fake.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake.rs
@@ -7,14 +7,14 @@
 mod target;
 
 pub use self::{
-    caller::{Answer, End, call, exchange, get, http2, read_all},
+    caller::{End, RawResponse, call, exchange, get, http2, read_all},
     fleet::{Fleet, KEY},
     platform::Platform,
     side::{TrafficSide, run},
     target::{Script, Step, Target, text},
 };
 
-/// Waits until the condition comes true.
+/// Waits until the condition is true, and panics after five seconds.
 pub fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..500 {
         if condition() {
@@ -22,5 +22,5 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    panic!("the condition should have come true within five seconds");
+    panic!("the condition should be true within five seconds");
 }
--- a/crates/mustardpin-node/tests/testsuite/fake/caller.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that speak HTTP/1.1 byte by byte.
+//! Callers that send and receive HTTP/1.1 as raw bytes, and callers that use HTTP/2.
 
 use std::{
     io::{ErrorKind, Read as _, Write as _},
@@ -12,54 +12,54 @@
 use hyper::{body::Incoming, client::conn::http2};
 use hyper_util::rt::{TokioExecutor, TokioIo};
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The node closed it in order.
+    /// The node closed it normally.
     Closed,
-    /// The node broke it off.
+    /// The node reset it.
     Reset,
-    /// It was still open after five seconds without a byte.
+    /// It was still open after five seconds without data.
     LeftOpen,
 }
 
-/// All bytes that came back, and how the connection came to its end.
+/// All bytes that the node sent, and how the connection ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct RawResponse {
     pub text: String,
     pub end: End,
 }
 
-impl Answer {
-    /// The status line and the headers that tests look at, in a stable form.
+impl RawResponse {
+    /// Returns the status line and the headers without `date`, which differs from run to run.
     pub fn head(&self) -> String {
         let (head, _) = self.text.split_once("\r\n\r\n").unwrap_or((&self.text, ""));
         let lines = head.split("\r\n").filter(|line| !line.starts_with("date: "));
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    /// The status code; zero if there is none.
+    /// Returns the status code; zero if there is none.
     pub fn status(&self) -> u16 {
         self.text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Everything after the head.
+    /// Returns everything after the headers.
     pub fn body(&self) -> &str {
         self.text.split_once("\r\n\r\n").map_or("", |(_, body)| body)
     }
 }
 
-/// Sends bytes and reads until the connection ends or nothing comes for five seconds.
-pub fn exchange(address: SocketAddr, bytes: &[u8]) -> Answer {
+/// Sends bytes, and reads until the connection ends or no data arrives for five seconds.
+pub fn exchange(address: SocketAddr, bytes: &[u8]) -> RawResponse {
     let mut stream = TcpStream::connect(address).expect("the node listens");
     // The node may close the connection before it has read everything.
     let _ = stream.write_all(bytes);
     read_all(stream)
 }
 
-/// Reads until the connection ends or nothing comes for five seconds.
-pub fn read_all(mut stream: TcpStream) -> Answer {
-    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("the time is not zero");
+/// Reads until the connection ends or no data arrives for five seconds.
+pub fn read_all(mut stream: TcpStream) -> RawResponse {
+    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("the timeout is not zero");
     let mut bytes = Vec::new();
     let mut buffer = [0; 16 * 1024];
     let end = loop {
@@ -70,11 +70,11 @@
             Err(_) => break End::Reset,
         }
     };
-    Answer { text: String::from_utf8_lossy(&bytes).into_owned(), end }
+    RawResponse { text: String::from_utf8_lossy(&bytes).into_owned(), end }
 }
 
-/// Sends a request whose connection ends with the answer.
-pub fn call(address: SocketAddr, line: &str, headers: &[(&str, &str)], body: &str) -> Answer {
+/// Sends a request on a connection that is closed after the response.
+pub fn call(address: SocketAddr, line: &str, headers: &[(&str, &str)], body: &str) -> RawResponse {
     let mut text = format!("{line} HTTP/1.1\r\nhost: fleet\r\nconnection: close\r\n");
     for (name, value) in headers {
         text.push_str(&format!("{name}: {value}\r\n"));
@@ -86,7 +86,7 @@
 }
 
 /// Sends a GET request with the key of the fake fleet.
-pub fn get(address: SocketAddr, path: &str) -> Answer {
+pub fn get(address: SocketAddr, path: &str) -> RawResponse {
     let key = format!("Bearer {}", super::KEY);
     call(address, &format!("GET {path}"), &[("authorization", &key)], "")
 }
@@ -107,7 +107,7 @@
 }
 
 impl Http2 {
-    /// Sends a GET request and reads the whole answer: its status, body and trailers.
+    /// Sends a GET request and reads the complete response: its status, body and trailers.
     pub async fn collect(&mut self, path: &str) -> hyper::Result<(u16, Bytes, Option<HeaderMap>)> {
         let response = self.get(path).await?;
         let status = response.status().as_u16();
--- a/crates/mustardpin-node/tests/testsuite/fake/fleet.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of nodes in this process, with one platform and one target for each node.
+//! A fleet of nodes in this process, with one platform, and one target for each node.
 
 use std::{
     net::SocketAddr,
@@ -34,7 +34,7 @@
 /// The key of the fleet's only team.
 pub const KEY: &str = "garage-1.s3cret-text";
 
-/// What a node of the fleet is started with.
+/// Returns the start parameters of a node of the fleet.
 pub fn launch(name: &str, service: &str, platform: &Platform) -> Launch {
     let platform = platform.clone();
     Launch {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A fleet that ends with the test.
+/// A fleet that is killed when it is dropped.
 pub struct Fleet {
     pub runtime: Runtime,
     pub platform: Platform,
@@ -73,9 +73,9 @@
         Fleet::start_with(services, |launch| launch)
     }
 
-    /// The same, with changes to what the nodes are started with.
+    /// Like `start`, with changes to the start parameters of the nodes.
     pub fn start_with(services: &[(&str, Script)], change: impl Fn(Launch) -> Launch) -> Fleet {
-        let runtime = Runtime::new().expect("threads");
+        let runtime = Runtime::new().expect("the runtime starts");
         let platform = Platform::new(rows());
         let mut fleet = Fleet {
             runtime,
@@ -97,7 +97,7 @@
         fleet
     }
 
-    /// Where a node takes requests from callers.
+    /// Returns the address at which a node accepts requests from callers.
     pub fn callers(&self, node: usize) -> SocketAddr {
         self.nodes[node].addresses().callers
     }
@@ -121,7 +121,7 @@
         });
     }
 
-    /// Every node has its configuration, and reaches its target and all peers.
+    /// Waits until every node has its configuration and can reach its target and all peers.
     fn wait_until_ready(&self) {
         let start = Instant::now();
         let peers = self.nodes.len() - 1;
@@ -129,8 +129,8 @@
             let is_ready = move |world: &World| {
                 let tables = world.tables();
                 let open = tables.peers.iter().filter(|(_, peer)| peer.is_open()).count();
-                let has_met = tables.roster.len() == peers + 1 && open == peers;
-                tables.configuration.revision.0 > 0 && tables.target.is_open() && has_met
+                let knows_peers = tables.roster.len() == peers + 1 && open == peers;
+                tables.configuration.revision.0 > 0 && tables.target.is_open() && knows_peers
             };
             let report = || self.runtime.block_on(node.control().report(is_ready));
             while !report().expect("the node runs") {
@@ -139,7 +139,7 @@
             }
         }
         for target in &self.targets {
-            target.forget();
+            target.clear_seen();
         }
     }
 }
--- a/crates/mustardpin-node/tests/testsuite/fake/platform.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's store in memory.
+//! An in-memory store of the platform.
 
 use std::{
     collections::BTreeMap,
@@ -14,7 +14,7 @@
 };
 use tokio::{runtime, sync::watch, time};
 
-/// A store that answers at once, and tells of changes as they come.
+/// A store that replies at once, and to a long poll as soon as a row changes.
 #[derive(Clone)]
 pub struct Platform {
     table: Arc<Mutex<Table>>,
@@ -28,7 +28,7 @@
 }
 
 impl Platform {
-    /// A store with these rows of the configuration.
+    /// Creates a store with these rows of the configuration.
     pub fn new(rows: Vec<config::Row>) -> Platform {
         let platform = Platform { table: Arc::default(), version: watch::Sender::new(0) };
         platform.write(rows);
@@ -43,14 +43,14 @@
         self.transact(&[], puts.collect(), Vec::new());
     }
 
-    /// A client for one node.
+    /// Creates a client for one node.
     pub fn client(&self, control: Handle) -> Box<dyn Store> {
         let runtime = runtime::Handle::current();
         Box::new(Client { platform: self.clone(), control, runtime })
     }
 
     fn table(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().expect("no panic holds the lock")
+        self.table.lock().expect("the lock is not poisoned")
     }
 
     fn transact(
@@ -82,15 +82,15 @@
         let table = self.table();
         let is_wanted = |row: &&Row| {
             let is_fleet = matches!(row.key, RowKey::Node(_) | RowKey::Roster);
-            let is_there = !whole || row.value.is_some();
-            is_there && is_fleet == (area == Area::Fleet) && row.version > after
+            let exists = !whole || row.value.is_some();
+            exists && is_fleet == (area == Area::Fleet) && row.version > after
         };
         let rows = table.rows.values().filter(is_wanted).cloned().collect();
         let up_to = table.version;
         Reply::Changes { area, whole, up_to, clock: None, changes: Changes::Rows(rows) }
     }
 
-    /// Waits for changes of an area.
+    /// Waits for changes in an area.
     async fn watch(&self, area: Area, after: StoreVersion) -> Reply {
         let mut version = self.version.subscribe();
         loop {
--- a/crates/mustardpin-node/tests/testsuite/fake/side.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/side.rs
@@ -1,4 +1,4 @@
-//! The traffic side alone: the test takes the control thread's place.
+//! The traffic side alone, with the test in the role of the control thread.
 
 use std::{
     collections::VecDeque,
@@ -30,11 +30,11 @@
 use tokio::{net::TcpListener, runtime::Runtime};
 use tokio_util::task::TaskTracker;
 
-/// A clock that the test moves.
+/// A clock whose time the test sets.
 #[derive(Default)]
-pub struct Hand(AtomicU64);
+pub struct ManualClock(AtomicU64);
 
-impl Clock for Hand {
+impl Clock for ManualClock {
     fn now(&self) -> Millis {
         Millis(self.0.load(Ordering::SeqCst))
     }
@@ -44,29 +44,29 @@
 pub struct TrafficSide {
     pub callers: SocketAddr,
     pub announcement: Announcement,
-    pub clock: Arc<Hand>,
+    pub clock: Arc<ManualClock>,
     dispatcher: Mutex<Dispatcher>,
     inputs: Receiver<Input>,
-    waiting: Mutex<VecDeque<Event>>,
+    unread: Mutex<VecDeque<Event>>,
     _runtime: Runtime,
 }
 
 impl TrafficSide {
-    /// Starts the traffic side of node 1; its target is at this address.
+    /// Starts the traffic side of node 1 with the target at this address.
     pub fn start(target: SocketAddr, limits: Limits) -> TrafficSide {
         TrafficSide::start_as(1, "fleet", target, limits)
     }
 
-    /// Starts the traffic side of a node with a credential.
+    /// Starts the traffic side of this node with this fleet credential.
     pub fn start_as(
         node: u64,
         credential: &str,
         target: SocketAddr,
         limits: Limits,
     ) -> TrafficSide {
-        let runtime = Runtime::new().expect("threads");
+        let runtime = Runtime::new().expect("the runtime starts");
         let (control, inputs) = Handle::channel();
-        let clock = Arc::new(Hand::default());
+        let clock = Arc::new(ManualClock::default());
         let bind = || {
             let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).expect("a port");
             let address = listener.local_addr().expect("a bound address");
@@ -80,7 +80,7 @@
             service: "slots".into(),
             address: peers.1.to_string().into(),
         };
-        let board = Exchanges::new(Setup {
+        let exchanges = Exchanges::new(Setup {
             control,
             clock: Arc::clone(&clock) as _,
             limits,
@@ -91,14 +91,14 @@
                 fleet: KeyDigest::of(credential),
             },
         });
-        let (dispatcher, dispatching) = Dispatcher::new(Arc::clone(&board));
+        let (dispatcher, dispatching) = Dispatcher::new(Arc::clone(&exchanges));
         runtime.spawn(dispatching);
-        runtime.spawn(Arc::clone(&board).send_events());
+        runtime.spawn(Arc::clone(&exchanges).send_events());
         let address = callers.1;
-        for (listener, door) in [(callers.0, ListenerKind::Callers), (peers.0, ListenerKind::Peers)]
+        for (listener, kind) in [(callers.0, ListenerKind::Callers), (peers.0, ListenerKind::Peers)]
         {
-            let serving = traffic::serve(listener, door, Arc::clone(&board), TaskTracker::new());
-            runtime.spawn(serving);
+            let task = traffic::serve(listener, kind, Arc::clone(&exchanges), TaskTracker::new());
+            runtime.spawn(task);
         }
         let side = TrafficSide {
             callers: address,
@@ -106,11 +106,12 @@
             clock,
             dispatcher: Mutex::new(dispatcher),
             inputs,
-            waiting: Mutex::default(),
+            unread: Mutex::default(),
             _runtime: runtime,
         };
-        let place = TargetAddress { address: target.to_string().into(), instance: "".into() };
-        side.order(TrafficCommand::Target(Some(place)));
+        let target_address =
+            TargetAddress { address: target.to_string().into(), instance: "".into() };
+        side.execute(TrafficCommand::Target(Some(target_address)));
         side
     }
 
@@ -119,53 +120,53 @@
         self.clock.0.store(now.0, Ordering::SeqCst);
     }
 
-    /// Gives an order.
-    pub fn order(&self, order: TrafficCommand) {
-        self.dispatcher.lock().expect("no panic holds the lock").execute(vec![order]);
+    /// Executes a command.
+    pub fn execute(&self, command: TrafficCommand) {
+        self.dispatcher.lock().expect("the lock is not poisoned").execute(vec![command]);
     }
 
-    /// Gives the final word on a request.
+    /// Finishes a request with this verdict.
     pub fn finish(&self, ticket: Ticket, verdict: Verdict) {
-        self.order(TrafficCommand::Finish { ticket, verdict, retries: 0 });
+        self.execute(TrafficCommand::Finish { ticket, verdict, retries: 0 });
     }
 
-    /// The next request that arrives.
+    /// Waits for the next event, which must be the arrival of a request.
     pub fn accept(&self) -> Request {
         match self.event() {
             Event::Arrived(request) => request,
-            event => panic!("a request should have arrived, not {event:?}"),
+            event => panic!("expected the arrival of a request, not {event:?}"),
         }
     }
 
-    /// The next event.
+    /// Waits for the next event, at most five seconds.
     pub fn event(&self) -> Event {
-        let mut waiting = self.waiting.lock().expect("no panic holds the lock");
+        let mut unread = self.unread.lock().expect("the lock is not poisoned");
         loop {
-            if let Some(event) = waiting.pop_front() {
+            if let Some(event) = unread.pop_front() {
                 return event;
             }
             match self.inputs.recv_timeout(Duration::from_secs(5)) {
-                Ok(Input::Events(events)) => waiting.extend(events),
-                Ok(_) => panic!("an event should have come, not another input"),
-                Err(_) => panic!("an event should have come"),
+                Ok(Input::Events(events)) => unread.extend(events),
+                Ok(_) => panic!("expected events, not another input"),
+                Err(_) => panic!("expected an event within five seconds"),
             }
         }
     }
 
-    /// Whether no event has come that was not taken.
-    pub fn is_quiet(&self) -> bool {
-        let mut waiting = self.waiting.lock().expect("no panic holds the lock");
+    /// Returns whether there is no unread event.
+    pub fn has_no_events(&self) -> bool {
+        let mut unread = self.unread.lock().expect("the lock is not poisoned");
         while let Ok(input) = self.inputs.try_recv() {
             match input {
-                Input::Events(events) => waiting.extend(events),
+                Input::Events(events) => unread.extend(events),
                 _ => return false,
             }
         }
-        waiting.is_empty()
+        unread.is_empty()
     }
 }
 
-/// A run that may start now, with ten seconds to its deadline.
+/// Returns a run that may start within half a second and has its deadline at ten seconds.
 pub fn run(ticket: Ticket) -> Run {
     Run {
         ticket,
--- a/crates/mustardpin-node/tests/testsuite/fake/target.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/target.rs
@@ -1,4 +1,4 @@
-//! A target that answers each request by a script, and keeps the bytes of all it has seen.
+//! A target that responds to each request by a script, and records all requests.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -16,7 +16,7 @@
 pub enum Step {
     /// Sends bytes.
     Send(Vec<u8>),
-    /// Counts that it has come this far.
+    /// Increments a counter.
     Count(Arc<AtomicUsize>),
     /// Waits.
     Wait(Duration),
@@ -24,15 +24,15 @@
     Close,
 }
 
-/// Chooses the steps for a request, by its text.
+/// Returns the steps for the text of a request.
 pub type Script = Arc<dyn Fn(&str) -> Vec<Step> + Send + Sync>;
 
-/// Steps that send this text.
+/// Returns the steps that send this text.
 pub fn text(text: &str) -> Vec<Step> {
     vec![Step::Send(text.as_bytes().to_vec())]
 }
 
-/// A target.
+/// A fake target on a port of its own.
 #[derive(Clone)]
 pub struct Target {
     pub address: SocketAddr,
@@ -59,37 +59,37 @@
                 target.connections.fetch_add(1, Ordering::Relaxed);
                 thread::spawn(move || {
                     let _ = target.serve(stream, &script);
-                    *target.closed.lock().expect("no panic holds the lock") += 1;
+                    *target.closed.lock().expect("the lock is not poisoned") += 1;
                 });
             }
         });
         target
     }
 
-    /// The text of every request seen so far.
+    /// Returns the text of every recorded request.
     pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().expect("no panic holds the lock").clone()
+        self.seen.lock().expect("the lock is not poisoned").clone()
     }
 
-    /// Starts counting anew.
-    pub fn forget(&self) {
-        self.seen.lock().expect("no panic holds the lock").clear();
+    /// Removes all recorded requests.
+    pub fn clear_seen(&self) {
+        self.seen.lock().expect("the lock is not poisoned").clear();
     }
 
-    /// How many connections have been made.
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// How many connections have ended.
+    /// Returns the number of connections that have ended.
     pub fn closed(&self) -> usize {
-        *self.closed.lock().expect("no panic holds the lock")
+        *self.closed.lock().expect("the lock is not poisoned")
     }
 
     fn serve(&self, mut stream: TcpStream, script: &Script) -> io::Result<()> {
         stream.set_nodelay(true)?;
         while let Some(request) = read_request(&mut stream)? {
-            self.seen.lock().expect("no panic holds the lock").push(request.clone());
+            self.seen.lock().expect("the lock is not poisoned").push(request.clone());
             let steps = if request.starts_with("GET /ready") {
                 text("HTTP/1.1 204 No Content\r\n\r\n")
             } else {
@@ -110,14 +110,14 @@
     }
 }
 
-/// Reads one request with its body; `None` once the connection has ended.
+/// Reads one request with its body. Returns `None` if the connection has ended.
 fn read_request(stream: &mut TcpStream) -> io::Result<Option<String>> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     loop {
         let text = String::from_utf8_lossy(&bytes);
         if let Some((head, body)) = text.split_once("\r\n\r\n")
-            && is_whole(head, body)
+            && is_complete(head, body)
         {
             return Ok(Some(text.into_owned()));
         }
@@ -128,7 +128,7 @@
     }
 }
 
-fn is_whole(head: &str, body: &str) -> bool {
+fn is_complete(head: &str, body: &str) -> bool {
     let head = head.to_ascii_lowercase();
     if head.contains("transfer-encoding: chunked") {
         return body.contains("0\r\n") && body.ends_with("\r\n\r\n");
--- a/crates/mustardpin-node/tests/testsuite/input.rs
+++ b/crates/mustardpin-node/tests/testsuite/input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear refusal or a closed connection, and takes no node down.
+//! Malformed input gets a refusal or a closed connection, and does not crash the node.
 
 use std::{
     io::Write as _,
@@ -24,17 +24,17 @@
     Fleet::start_with(&[("slots", script)], |launch| Launch { limits, ..launch })
 }
 
-fn summary(name: &str, answer: &crate::fake::Answer) -> String {
-    let reason = answer
+fn summary(name: &str, response: &crate::fake::RawResponse) -> String {
+    let reason = response
         .head()
         .lines()
         .find_map(|line| line.strip_prefix("mustardpin-reason: ").map(str::to_owned));
-    let end = if answer.end == End::LeftOpen { " and left open" } else { "" };
-    format!("{name}: {} {}{end}", answer.status(), reason.unwrap_or_default())
+    let end = if response.end == End::LeftOpen { " and left open" } else { "" };
+    format!("{name}: {} {}{end}", response.status(), reason.unwrap_or_default())
 }
 
 #[test]
-fn bad_requests_are_refused_and_the_node_serves_on() {
+fn malformed_requests_are_refused_and_the_node_keeps_serving() {
     let limits = Limits {
         body_size: 100_000,
         header_timeout: Duration::from_millis(300),
@@ -112,10 +112,10 @@
         ("unknown route", call(callers, "GET relative", &[authorized], "")),
         ("good", get(callers, "/slots")),
     ];
-    let lines: Vec<_> = cases.iter().map(|(name, answer)| summary(name, answer)).collect();
+    let lines: Vec<_> = cases.iter().map(|(name, response)| summary(name, response)).collect();
     insta::assert_snapshot!(lines.join("\n"));
     let seen = fleet.targets[0].seen();
-    // Of two lengths nobody knows which one holds, so the request goes nowhere.
+    // With two lengths the end of the body is ambiguous, so the request must not reach the target.
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].matches("HTTP/1.1").count(), 1, "{seen:?}");
 }
@@ -127,16 +127,16 @@
     let callers = fleet.callers(0);
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
-        // The request by which the fleet found itself ready may hold the only place for a moment.
-        let mut answer = get(callers, "/slow");
-        while answer.status() == 503 {
-            answer = get(callers, "/slow");
+        // A request by which the fleet became ready may still be in progress, so 503 is retried.
+        let mut response = get(callers, "/slow");
+        while response.status() == 503 {
+            response = get(callers, "/slow");
         }
-        sender.send(answer)
+        sender.send(response)
     });
     wait_until(|| !fleet.targets[0].seen().is_empty());
     assert_eq!(summary("", &get(callers, "/slots")), ": 503 in_progress_limit");
-    assert_eq!(receiver.recv().expect("the caller ends").status(), 200);
+    assert_eq!(receiver.recv().expect("the caller thread ends").status(), 200);
 
     let idle: Vec<_> =
         (0..3).map(|_| TcpStream::connect(callers).expect("the node listens")).collect();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn bodies_that_are_kept_never_exceed_their_limit() {
+fn buffered_bodies_never_exceed_their_limit() {
     let limits = Limits { buffered_size: 10_000, ..Limits::default() };
     let fleet = fleet(limits);
     let callers = fleet.callers(0);
@@ -155,19 +155,21 @@
     let send = |size| call(callers, "POST /slots", &[("authorization", &key)], &"x".repeat(size));
     assert_eq!(summary("", &send(20_000)), ": 503 in_progress_limit");
     for _ in 0..5 {
-        // The body of the request before is let go a moment after its answer.
+        // The previous request's body is freed shortly after its response.
         wait_until(|| send(9_000).status() == 200);
     }
 }
 
-/// Sends bytes to a port for peers; tells whether anything came back before it was closed.
-fn knock(address: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes to a port for peers. Returns how the connection ended, and whether the node sent
+/// anything on it.
+fn probe(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("the node listens");
     let _ = stream.write_all(bytes);
-    let answer = read_all(stream);
-    let end = if answer.end == End::LeftOpen { "left open" } else { "closed" };
-    let is_answered = if answer.text.is_empty() { "without an answer" } else { "after an answer" };
-    format!("{end} {is_answered}")
+    let response = read_all(stream);
+    let end = if response.end == End::LeftOpen { "left open" } else { "closed" };
+    let response_state =
+        if response.text.is_empty() { "without an answer" } else { "after an answer" };
+    format!("{end} {response_state}")
 }
 
 #[test]
@@ -202,8 +204,8 @@
         ("garbage frame", [hello("fleet", node), vec![0, 0, 0, 4, 99, 9, 9, 9]].concat()),
     ];
     let peers = fleet.nodes[0].addresses().peers;
-    let answers = cases.map(|(name, bytes)| format!("{name}: {}", knock(peers, &bytes)));
-    let lines = answers.to_vec();
+    let reports = cases.map(|(name, bytes)| format!("{name}: {}", probe(peers, &bytes)));
+    let lines = reports.to_vec();
     insta::assert_snapshot!(lines.join("\n"));
     assert_eq!(get(fleet.callers(0), "/slots").status(), 200);
 }
--- a/crates/mustardpin-node/tests/testsuite/key.rs
+++ b/crates/mustardpin-node/tests/testsuite/key.rs
@@ -1,4 +1,4 @@
-//! Targets never see a key, and a withdrawn one stops working.
+//! Targets never receive a key, and a withdrawn key stops working.
 
 use std::{
     io::{Read as _, Write as _},
@@ -16,8 +16,8 @@
     Arc::new(|_| text("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello"))
 }
 
-/// A request that carries the key wherever it can stand.
-fn leaky(path: &str) -> String {
+/// Returns a request that has the key in every place where a caller may put it.
+fn request_with_key(path: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: fleet\r\nconnection: close\r\n\
          authorization: Bearer {KEY}\r\nproxy-authorization: Bearer {KEY}\r\n\
@@ -34,8 +34,8 @@
     let fleet = Fleet::start(&[("slots", hello()), ("ledger", hello())]);
     for node in [0, 1] {
         for path in ["/slots", "/open"] {
-            let answer = exchange(fleet.callers(node), leaky(path).as_bytes());
-            assert_eq!(answer.status(), 200, "{answer:?}");
+            let response = exchange(fleet.callers(node), request_with_key(path).as_bytes());
+            assert_eq!(response.status(), 200, "{response:?}");
         }
     }
     let seen = fleet.targets[0].seen();
@@ -50,11 +50,11 @@
     insta::assert_snapshot!(stable(&seen[2]));
 }
 
-/// The request without the numbers that differ from run to run.
+/// Returns the request without the values that differ from run to run.
 fn stable(request: &str) -> String {
-    let changing = ["mustardpin-call: ", "request-timeout-ms: "];
+    let unstable = ["mustardpin-call: ", "request-timeout-ms: "];
     let lines = request.split("\r\n").map(|line| {
-        let name = changing.iter().find(|name| line.starts_with(**name));
+        let name = unstable.iter().find(|name| line.starts_with(**name));
         name.map_or(line.to_owned(), |name| format!("{name}.."))
     });
     lines.collect::<Vec<_>>().join("\n")
@@ -66,13 +66,13 @@
         format!("GET /slots HTTP/1.1\r\nhost: fleet\r\nauthorization: Bearer {KEY}\r\n\r\n");
     stream.write_all(request.as_bytes()).expect("the connection is open");
     let mut buffer = [0; 4096];
-    let count = stream.read(&mut buffer).expect("an answer comes");
+    let count = stream.read(&mut buffer).expect("a response arrives");
     let text = String::from_utf8_lossy(&buffer[..count]).into_owned();
     text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
 #[test]
-fn a_withdrawn_key_stops_working_on_connections_that_stay_open() {
+fn a_withdrawn_key_stops_working_on_open_connections() {
     const BOUND: Duration = Duration::from_secs(3);
     let fleet = Fleet::start(&[("slots", hello()), ("ledger", hello())]);
     let connect = |address: SocketAddr| TcpStream::connect(address).expect("the node listens");
@@ -89,7 +89,7 @@
     let start = Instant::now();
     loop {
         let [first, second] = http1.each_mut().map(status);
-        let third = fleet.runtime.block_on(http2.collect("/slots")).expect("an answer").0;
+        let third = fleet.runtime.block_on(http2.collect("/slots")).expect("a response").0;
         if [first, second, third] == [401; 3] {
             break;
         }
--- a/crates/mustardpin-node/tests/testsuite/leave.rs
+++ b/crates/mustardpin-node/tests/testsuite/leave.rs
@@ -1,4 +1,4 @@
-//! A node that leaves cuts off no request.
+//! A graceful shutdown aborts no request.
 
 use std::{
     io::{Read as _, Write as _},
@@ -24,7 +24,7 @@
     })
 }
 
-/// Stops a node; the receiver tells when its process would have ended.
+/// Stops a node. The receiver gets a message when its process would have ended.
 fn stop(fleet: &mut Fleet, node: usize) -> mpsc::Receiver<()> {
     let node = fleet.nodes.remove(node);
     node.stop();
@@ -37,15 +37,15 @@
 }
 
 #[test]
-fn answers_in_progress_are_finished_and_idle_connections_closed() {
+fn responses_in_progress_are_completed_and_idle_connections_closed() {
     let mut fleet = Fleet::start(&[("slots", script()), ("ledger", script())]);
     let (direct, through) = (fleet.callers(0), fleet.callers(1));
     let mut idle = TcpStream::connect(direct).expect("the node listens");
     let request =
         format!("GET /slots HTTP/1.1\r\nhost: fleet\r\nauthorization: Bearer {KEY}\r\n\r\n");
     idle.write_all(request.as_bytes()).expect("the node reads");
-    let _ = idle.read(&mut [0; 4096]).expect("an answer");
-    let (sender, answers) = mpsc::channel();
+    let _ = idle.read(&mut [0; 4096]).expect("a response");
+    let (sender, responses) = mpsc::channel();
     for address in [direct, direct, through, through] {
         let sender = sender.clone();
         thread::spawn(move || sender.send(get(address, "/slow")));
@@ -58,18 +58,18 @@
     let ended = stop(&mut fleet, 0);
     let start = Instant::now();
     for _ in 0..4 {
-        let answer = answers.recv().expect("the caller ends");
-        assert_eq!(answer.body(), "hello".repeat(4), "{answer:?}");
+        let response = responses.recv().expect("the caller thread ends");
+        assert_eq!(response.body(), "hello".repeat(4), "{response:?}");
     }
-    let answer = fleet.runtime.block_on(http2).expect("no panic").expect("a whole answer");
-    assert_eq!(answer.1, "hello".repeat(4));
+    let response = fleet.runtime.block_on(http2).expect("no panic").expect("a complete response");
+    assert_eq!(response.1, "hello".repeat(4));
     assert_eq!(read_all(idle).end, End::Closed);
     ended.recv_timeout(Duration::from_secs(5)).expect("the process ends");
     assert!(start.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
-fn a_request_on_a_connection_that_was_idle_is_answered_while_the_node_leaves() {
+fn a_request_on_an_idle_connection_gets_a_response_while_the_node_drains() {
     let mut fleet = Fleet::start_with(&[("slots", script())], |mut launch| {
         launch.limits.drain_idle_timeout = Duration::from_millis(1_000);
         launch
@@ -79,12 +79,12 @@
     let request =
         format!("GET /slots HTTP/1.1\r\nhost: fleet\r\nauthorization: Bearer {KEY}\r\n\r\n");
     idle.write_all(request.as_bytes()).expect("the node reads");
-    let _ = idle.read(&mut [0; 4096]).expect("an answer");
+    let _ = idle.read(&mut [0; 4096]).expect("a response");
     let ended = stop(&mut fleet, 0);
     thread::sleep(Duration::from_millis(200));
     idle.write_all(request.as_bytes()).expect("the node reads");
-    let answer = read_all(idle);
-    assert!([200, 503].contains(&answer.status()), "{answer:?}");
-    assert!(answer.head().contains("connection: close"), "{answer:?}");
+    let response = read_all(idle);
+    assert!([200, 503].contains(&response.status()), "{response:?}");
+    assert!(response.head().contains("connection: close"), "{response:?}");
     ended.recv_timeout(Duration::from_secs(5)).expect("the process ends");
 }
--- a/crates/mustardpin-node/tests/testsuite/link.rs
+++ b/crates/mustardpin-node/tests/testsuite/link.rs
@@ -22,10 +22,10 @@
 
 use crate::fake::TrafficSide;
 
-const NOBODY: &str = "127.0.0.1:1";
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
 fn node(id: u64, credential: &str) -> TrafficSide {
-    let target: SocketAddr = NOBODY.parse().expect("an address");
+    let target: SocketAddr = UNUSED_ADDRESS.parse().expect("an address");
     TrafficSide::start_as(id, credential, target, Limits::default())
 }
 
@@ -33,8 +33,8 @@
     Message::Configuration(configuration::Message::Want { after: Revision(after) })
 }
 
-/// The next event of a node that meets a condition.
-fn next(node: &TrafficSide, condition: impl Fn(&Event) -> bool) -> Event {
+/// Waits for the next event of a node that meets a condition.
+fn next_event(node: &TrafficSide, condition: impl Fn(&Event) -> bool) -> Event {
     loop {
         let event = node.event();
         if condition(&event) {
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn messages_come_in_the_order_they_were_sent() {
+fn messages_arrive_in_the_order_they_were_sent() {
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
-    two.order(TrafficCommand::Link(one.announcement.clone()));
-    next(&two, is_link_up);
+    two.execute(TrafficCommand::Link(one.announcement.clone()));
+    next_event(&two, is_link_up);
     assert_eq!(one.event(), Event::PeerSeen(two.announcement.clone()));
     for after in 0..200 {
-        two.order(TrafficCommand::Send { to: NodeId(1), message: message(after) });
+        two.execute(TrafficCommand::Send { to: NodeId(1), message: message(after) });
     }
     for after in 0..200 {
         let event = Event::Peer { from: NodeId(2), message: message(after) };
@@ -63,44 +63,47 @@
 }
 
 #[test]
-fn a_node_tells_its_peers_what_its_target_has_to_do() {
+fn a_node_reports_the_load_of_its_target_to_peers() {
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
-    two.order(TrafficCommand::Link(one.announcement.clone()));
-    next(&two, is_link_up);
+    two.execute(TrafficCommand::Link(one.announcement.clone()));
+    next_event(&two, is_link_up);
     let load = Load { open: true, running: 3, limit: 8, ..Load::default() };
-    one.order(TrafficCommand::Publish { load, urgent: true });
-    let told = next(&two, |event| matches!(event, Event::Load { load, .. } if load.running == 3));
-    assert_eq!(told, Event::Load { from: NodeId(1), load });
+    one.execute(TrafficCommand::Publish { load, urgent: true });
+    let reported =
+        next_event(&two, |event| matches!(event, Event::Load { load, .. } if load.running == 3));
+    assert_eq!(reported, Event::Load { from: NodeId(1), load });
 }
 
-/// Who is not there, is another one, or does not share the credential.
+/// Guards against failures to connect that the control thread does not learn of: the address is
+/// unreachable, another node listens there, or the credentials differ.
 #[test]
 fn a_connection_that_cannot_be_made_is_reported() {
     let one = node(1, "fleet");
     let other = Announcement { node: NodeId(3), ..one.announcement.clone() };
-    let nobody = Announcement { address: NOBODY.into(), ..one.announcement.clone() };
+    let unreachable = Announcement { address: UNUSED_ADDRESS.into(), ..one.announcement.clone() };
     let mut report = String::new();
     let cases = [
-        ("nobody listens", "fleet", nobody),
+        ("nobody listens", "fleet", unreachable),
         ("another node listens", "fleet", other),
         ("another credential", "guess", one.announcement.clone()),
     ];
     for (name, credential, announcement) in cases {
         let two = node(2, credential);
-        two.order(TrafficCommand::Link(announcement));
-        let event = next(&two, |event| !is_link_up(event));
+        two.execute(TrafficCommand::Link(announcement));
+        let event = next_event(&two, |event| !is_link_up(event));
         report.push_str(&format!("{name}: {event:?}\n"));
     }
     insta::assert_snapshot!(report);
-    assert!(one.is_quiet());
+    assert!(one.has_no_events());
 }
 
-/// What waits for a peer that does not answer fails with the connection, and soon.
+/// Requests that wait for an unresponsive peer fail together with the connection, within three
+/// seconds.
 #[test]
-fn requests_at_a_peer_that_falls_silent_fail_together() {
+fn requests_to_an_unresponsive_peer_fail_together() {
     const WAITING: u64 = 8;
     let two = node(2, "fleet");
-    // Connections to it are made, but nobody answers.
+    // The listener accepts connections into its backlog, but never sends anything.
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = silent.local_addr().expect("a bound address").to_string();
     let announcement = Announcement {
@@ -110,7 +113,7 @@
         service: "slots".into(),
         address: address.into(),
     };
-    two.order(TrafficCommand::Link(announcement));
+    two.execute(TrafficCommand::Link(announcement));
     let begin = Instant::now();
     let tickets: Vec<Ticket> = (0..WAITING)
         .map(|_| {
@@ -120,28 +123,28 @@
         })
         .collect();
     for &ticket in &tickets {
-        two.order(TrafficCommand::Forward(forward(ticket)));
+        two.execute(TrafficCommand::Forward(forward(ticket)));
     }
     let is_end = |event: &Event| matches!(event, Event::ForwardEnded { .. });
     for _ in 0..WAITING {
-        let Event::ForwardEnded { ticket, end, .. } = next(&two, is_end) else { continue };
+        let Event::ForwardEnded { ticket, end, .. } = next_event(&two, is_end) else { continue };
         assert!(tickets.contains(&ticket));
         assert_eq!(end, ForwardEnd::NotSent);
     }
     assert!(begin.elapsed() < Duration::from_secs(3), "{:?}", begin.elapsed());
 }
 
-/// What a node sends itself is no sign of life of its peer.
+/// Messages that a node sends must not count as activity of its peer.
 #[test]
-fn a_connection_that_falls_silent_is_given_up_though_messages_go_out() {
+fn a_silent_connection_is_closed_even_while_messages_are_sent() {
     const STEP: Millis = Millis(100);
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
     let relay = Relay::start(&one.announcement.address);
-    two.order(TrafficCommand::Link(Announcement {
+    two.execute(TrafficCommand::Link(Announcement {
         address: relay.address.to_string().into(),
         ..one.announcement.clone()
     }));
-    next(&two, is_link_up);
+    next_event(&two, is_link_up);
     relay.is_silent.store(true, Ordering::SeqCst);
     let mut now = Millis::ZERO;
     let mut seen = Vec::new();
@@ -149,9 +152,9 @@
         assert!(now < Millis::from_secs(4), "{seen:?}");
         now = now + STEP;
         two.set_time(now);
-        two.order(TrafficCommand::Send { to: NodeId(1), message: message(1) });
+        two.execute(TrafficCommand::Send { to: NodeId(1), message: message(1) });
         thread::sleep(Duration::from_millis(STEP.0));
-        while !two.is_quiet() {
+        while !two.has_no_events() {
             seen.push(two.event());
         }
     }
@@ -160,7 +163,7 @@
     assert_eq!(seen, [silent, Event::LinkDown { peer: NodeId(1), refused: false }]);
 }
 
-/// Passes bytes between two nodes, until it is silent.
+/// Forwards bytes between two nodes, until `is_silent` is set.
 struct Relay {
     address: SocketAddr,
     is_silent: Arc<AtomicBool>,
@@ -176,14 +179,15 @@
             for stream in listener.incoming().flatten() {
                 let other = TcpStream::connect(&to).expect("the node listens");
                 let clone = |stream: &TcpStream| stream.try_clone().expect("a second handle");
-                let ways = [(clone(&stream), clone(&other)), (other, stream)];
-                for (mut from, mut to) in ways {
+                let directions = [(clone(&stream), clone(&other)), (other, stream)];
+                for (mut from, mut to) in directions {
                     let is_silent = Arc::clone(&flag);
                     thread::spawn(move || {
                         let mut bytes = [0; 4096];
                         while let Ok(length @ 1..) = from.read(&mut bytes) {
                             if !is_silent.load(Ordering::SeqCst) {
-                                to.write_all(&bytes[..length]).expect("the other side reads");
+                                to.write_all(&bytes[..length])
+                                    .expect("the destination accepts data");
                             }
                         }
                     });
--- a/crates/mustardpin-node/tests/testsuite/main.rs
+++ b/crates/mustardpin-node/tests/testsuite/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the node library: real sockets on the loopback interface, with small fakes in place of
-//! the platform and the targets.
+//! Tests of the node library: real sockets on the loopback interface, with small fakes of the
+//! platform and the targets.
 
 mod admin;
 mod control;
--- a/crates/mustardpin-node/tests/testsuite/metrics.rs
+++ b/crates/mustardpin-node/tests/testsuite/metrics.rs
@@ -1,17 +1,17 @@
-//! The page of counters and histograms.
+//! The metrics that a node serves.
 
 use std::sync::Arc;
 
 use crate::fake::{Fleet, Script, call, get, text};
 
 #[test]
-fn the_page_tells_what_was_served_and_refused() {
+fn metrics_count_served_and_refused_requests() {
     let script: Script = Arc::new(|_| text("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello"));
     let fleet = Fleet::start(&[("slots", Arc::clone(&script)), ("ledger", script)]);
     assert_eq!(get(fleet.callers(0), "/slots").status(), 200);
     assert_eq!(get(fleet.callers(1), "/slots").status(), 200);
     assert_eq!(call(fleet.callers(0), "GET /slots", &[], "").status(), 401);
-    let address = fleet.nodes[0].addresses().metrics.expect("the node has the page");
+    let address = fleet.nodes[0].addresses().metrics.expect("the node serves metrics");
     let page = call(address, "GET /metrics", &[], "");
     assert_eq!(page.status(), 200, "{page:?}");
     assert!(page.head().contains("content-type: application/openmetrics-text"), "{page:?}");
--- a/crates/mustardpin-node/tests/testsuite/run.rs
+++ b/crates/mustardpin-node/tests/testsuite/run.rs
@@ -1,4 +1,4 @@
-//! One run on the target, as the control thread orders it and learns of its end.
+//! One run on the target: the commands of the control thread, and the events that it receives.
 
 use std::{
     io::Write as _,
@@ -16,7 +16,7 @@
 
 use crate::fake::{KEY, Script, Step, Target, TrafficSide, read_all, run, text, wait_until};
 
-const WHOLE: &str = "HTTP/1.1 201 Created\r\ncontent-length: 5\r\nx-own: 1\r\n\r\nhello";
+const COMPLETE: &str = "HTTP/1.1 201 Created\r\ncontent-length: 5\r\nx-own: 1\r\n\r\nhello";
 const ANSWERED: RunEnd = RunEnd::Answered { status: 201, report: None };
 
 fn start(steps: Vec<Step>, limits: Limits) -> (TrafficSide, Target) {
@@ -25,8 +25,8 @@
     (TrafficSide::start(target.address, limits), target)
 }
 
-/// A caller that has sent a booking and not read the answer.
-fn book(side: &TrafficSide) -> TcpStream {
+/// Sends a booking, and returns the connection before the response is read.
+fn send_booking(side: &TrafficSide) -> TcpStream {
     let mut stream = TcpStream::connect(side.callers).expect("the node listens");
     let request = format!(
         "POST /bookings HTTP/1.1\r\nhost: fleet\r\nconnection: close\r\n\
@@ -42,12 +42,12 @@
 
 #[test]
 fn a_run_that_is_too_late_to_start_is_not_sent() {
-    let (side, target) = start(text(WHOLE), Limits::default());
-    let caller = book(&side);
+    let (side, target) = start(text(COMPLETE), Limits::default());
+    let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    // The process was frozen between the decision and the first byte.
+    // This is the case if the process was frozen between the decision and the first byte.
     side.set_time(Millis(501));
-    side.order(TrafficCommand::Run(run(ticket)));
+    side.execute(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::NotSent));
     assert!(target.seen().is_empty());
     let refusal = Refusal::not_run(Reason::TargetFailed);
@@ -57,12 +57,12 @@
 
 #[test]
 fn a_run_that_is_too_late_is_not_sent_over_an_idle_connection_either() {
-    let (side, target) = start(text(WHOLE), Limits::default());
+    let (side, target) = start(text(COMPLETE), Limits::default());
     for (now, runs) in [(0, 1), (501, 1), (499, 2)] {
         side.set_time(Millis(now));
-        let caller = book(&side);
+        let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.order(TrafficCommand::Run(run(ticket)));
+        side.execute(TrafficCommand::Run(run(ticket)));
         let event = side.event();
         assert_eq!(target.seen().len(), runs, "at {now} ms: {event:?}");
         side.finish(ticket, Verdict::Refuse(Refusal::not_run(Reason::TargetFailed)));
@@ -71,40 +71,41 @@
 }
 
 #[test]
-fn the_whole_answer_goes_to_the_caller_at_once_and_its_end_is_told() {
-    let (side, _target) = start(text(WHOLE), Limits::default());
-    let caller = book(&side);
+fn the_complete_response_goes_to_the_caller_at_once_and_its_end_is_reported() {
+    let (side, _target) = start(text(COMPLETE), Limits::default());
+    let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.order(TrafficCommand::Run(run(ticket)));
-    let answer = read_all(caller);
-    insta::assert_snapshot!(format!("{}\n\n{}", answer.head(), answer.body()));
+    side.execute(TrafficCommand::Run(run(ticket)));
+    let response = read_all(caller);
+    insta::assert_snapshot!(format!("{}\n\n{}", response.head(), response.body()));
     assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED));
 }
 
-/// A server error waits for the control thread's word, which may repeat the request.
+/// A server error is not returned before the control thread's verdict, since it may retry the
+/// request.
 #[test]
-fn a_server_error_is_passed_on_only_by_order() {
+fn a_server_error_is_returned_only_on_command() {
     let failed = "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 4\r\n\r\noops";
     let (side, _target) = start(text(failed), Limits::default());
-    let caller = book(&side);
+    let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.order(TrafficCommand::Run(run(ticket)));
+    side.execute(TrafficCommand::Run(run(ticket)));
     let end = RunEnd::Answered { status: 500, report: None };
     assert_eq!(side.event(), Event::RunEnded(ticket, end));
-    side.order(TrafficCommand::Run(run(ticket)));
+    side.execute(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, end));
     side.finish(ticket, Verdict::Pass);
-    let answer = read_all(caller);
-    assert_eq!((answer.status(), answer.body()), (500, "oops"));
+    let response = read_all(caller);
+    assert_eq!((response.status(), response.body()), (500, "oops"));
 }
 
 #[test]
-fn a_run_goes_on_when_its_caller_has_gone_unless_it_is_cancelled() {
-    let steps = [vec![Step::Wait(Duration::from_millis(300))], text(WHOLE)].concat();
+fn a_run_continues_after_its_caller_disconnected() {
+    let steps = [vec![Step::Wait(Duration::from_millis(300))], text(COMPLETE)].concat();
     let (side, _target) = start(steps, Limits::default());
-    let caller = book(&side);
+    let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.order(TrafficCommand::Run(run(ticket)));
+    side.execute(TrafficCommand::Run(run(ticket)));
     caller.shutdown(Shutdown::Both).expect("the connection is open");
     drop(caller);
     assert_eq!(side.event(), Event::CallerGone(ticket));
@@ -117,62 +118,62 @@
     for steps in [Vec::new(), text(half)] {
         let steps = [steps, vec![Step::Wait(Duration::from_millis(400))]].concat();
         let (side, target) = start(steps, Limits::default());
-        let caller = book(&side);
+        let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.order(TrafficCommand::Run(run(ticket)));
+        side.execute(TrafficCommand::Run(run(ticket)));
         wait_until(|| target.seen().len() == 1);
-        side.order(TrafficCommand::Cancel(ticket));
+        side.execute(TrafficCommand::Cancel(ticket));
         assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Cancelled));
         side.finish(ticket, refuse(Reason::CallerGone));
         wait_until(|| target.closed() == 1);
-        let answer = read_all(caller);
-        assert!(!answer.text.ends_with("helloworld"), "{answer:?}");
+        let response = read_all(caller);
+        assert!(!response.text.ends_with("helloworld"), "{response:?}");
     }
 }
 
 #[test]
 fn a_request_that_is_refused_while_it_runs_gets_the_refusal() {
     let (side, target) = start(vec![Step::Wait(Duration::from_millis(600))], Limits::default());
-    let caller = book(&side);
+    let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.order(TrafficCommand::Run(run(ticket)));
+    side.execute(TrafficCommand::Run(run(ticket)));
     wait_until(|| target.seen().len() == 1);
-    side.order(TrafficCommand::Cancel(ticket));
+    side.execute(TrafficCommand::Cancel(ticket));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Cancelled));
     side.finish(ticket, refuse(Reason::DeadlineDuringRun));
     assert_eq!(read_all(caller).status(), 504);
     wait_until(|| target.closed() == 1);
 }
 
-/// Small answers are held until they are whole, so that nobody sees half of one.
+/// Small responses are buffered until they are complete, so that no caller receives a part of one.
 #[test]
-fn an_answer_that_breaks_off_is_not_begun() {
+fn a_truncated_response_is_not_started() {
     let half = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhello";
     let steps = [text(half), vec![Step::Wait(Duration::from_millis(100)), Step::Close]].concat();
     let (side, target) = start(steps, Limits::default());
-    let caller = book(&side);
+    let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.order(TrafficCommand::Run(run(ticket)));
+    side.execute(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Broken));
     assert_eq!(target.seen().len(), 1);
     side.finish(ticket, refuse(Reason::TargetFailed));
-    let answer = read_all(caller);
-    assert_eq!(answer.status(), 502, "{answer:?}");
+    let response = read_all(caller);
+    assert_eq!(response.status(), 502, "{response:?}");
 }
 
-/// Large answers go on as they come; once one has begun, nothing is sent again.
+/// Large responses are streamed; once one has started, the request is not retried.
 #[test]
-fn nothing_is_sent_again_once_the_answer_has_begun() {
+fn a_request_is_not_retried_once_its_response_has_started() {
     let size = 1_000_000;
     let half = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", 2 * size);
     let steps = [text(&half), text(&"x".repeat(size))].concat();
     let steps = [steps, vec![Step::Wait(Duration::from_millis(100)), Step::Close]].concat();
     let (side, target) = start(steps, Limits::default());
-    let caller = book(&side);
+    let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.order(TrafficCommand::Run(run(ticket)));
-    let answer = read_all(caller);
-    assert!(answer.text.starts_with("HTTP/1.1 200 OK") && answer.body().len() < 2 * size);
+    side.execute(TrafficCommand::Run(run(ticket)));
+    let response = read_all(caller);
+    assert!(response.text.starts_with("HTTP/1.1 200 OK") && response.body().len() < 2 * size);
     let mut events = vec![side.event(), side.event()];
     events.sort_by_key(|event| format!("{event:?}"));
     let ended = Event::RunEnded(ticket, RunEnd::Broken);
@@ -182,14 +183,14 @@
 }
 
 #[test]
-fn a_request_is_sent_again_over_a_new_connection_if_an_idle_one_was_dead() {
-    // The target closes each connection after its answer, without saying so.
-    let steps = [text(WHOLE), vec![Step::Close]].concat();
+fn a_request_is_retried_on_a_new_connection_if_the_idle_one_was_closed() {
+    // The target closes each connection after its response, without `connection: close`.
+    let steps = [text(COMPLETE), vec![Step::Close]].concat();
     let (side, target) = start(steps, Limits::default());
     for number in 1..=20 {
-        let caller = book(&side);
+        let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.order(TrafficCommand::Run(run(ticket)));
+        side.execute(TrafficCommand::Run(run(ticket)));
         assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED), "request {number}");
         assert_eq!(target.seen().len(), number);
         assert_eq!(read_all(caller).body(), "hello");
@@ -197,14 +198,14 @@
     }
 }
 
-/// Over a connection that may be dead, a request that must not run twice is not sent at all.
+/// A request that must not run twice is not sent on a connection that the target may have closed.
 #[test]
-fn a_non_repeatable_request_is_not_sent_over_a_connection_that_was_idle_for_long() {
-    let (side, target) = start(text(WHOLE), Limits::default());
+fn a_non_repeatable_request_is_not_sent_on_a_connection_that_was_idle_too_long() {
+    let (side, target) = start(text(COMPLETE), Limits::default());
     let book_once = || {
-        let caller = book(&side);
+        let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.order(TrafficCommand::Run(Run { repeatable: false, ..run(ticket) }));
+        side.execute(TrafficCommand::Run(Run { repeatable: false, ..run(ticket) }));
         assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED));
         assert_eq!(read_all(caller).body(), "hello");
     };
--- a/crates/mustardpin-node/tests/testsuite/stream.rs
+++ b/crates/mustardpin-node/tests/testsuite/stream.rs
@@ -1,4 +1,4 @@
-//! Large bodies stream with bounded memory, and answers are never mixed up.
+//! Large bodies are streamed with bounded memory, and each request gets its own response.
 
 use std::{
     io::{Read as _, Write as _},
@@ -13,21 +13,22 @@
 
 use crate::fake::{Fleet, KEY, Script, Step, call, get, text, wait_until};
 
-const PIECE: usize = 64 * 1024;
-const PIECES: usize = 1_024;
-/// What the sockets of the loopback interface, the windows and the frames in memory may hold
-/// together, on a path through two nodes.
-const MAX_AHEAD: usize = 32 * 1024 * 1024;
+const PIECE_BYTES: usize = 64 * 1024;
+const PIECE_COUNT: usize = 1_024;
+/// The maximum number of bytes that the sockets of the loopback interface, the flow-control windows
+/// and the frames in memory hold together, on a path through two nodes.
+const MAX_BYTES_IN_TRANSIT: usize = 32 * 1024 * 1024;
 
-/// A target whose answers are large, and how many pieces of one it has sent.
-fn large() -> (Script, Arc<AtomicUsize>) {
+/// Returns the script of a target with large responses, and the counter of the pieces that it sent.
+fn large_responses() -> (Script, Arc<AtomicUsize>) {
     let sent = Arc::new(AtomicUsize::new(0));
     let counter = Arc::clone(&sent);
     let script: Script = Arc::new(move |_| {
-        let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", PIECE * PIECES);
+        let head =
+            format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", PIECE_BYTES * PIECE_COUNT);
         let mut steps = text(&head);
-        for _ in 0..PIECES {
-            steps.push(Step::Send(vec![b'x'; PIECE]));
+        for _ in 0..PIECE_COUNT {
+            steps.push(Step::Send(vec![b'x'; PIECE_BYTES]));
             steps.push(Step::Count(Arc::clone(&counter)));
         }
         steps
@@ -36,8 +37,8 @@
 }
 
 #[test]
-fn a_slow_caller_holds_the_target_up_and_gets_the_whole_answer_in_the_end() {
-    let (script, sent) = large();
+fn a_slow_caller_slows_the_target_down_and_gets_the_complete_response() {
+    let (script, sent) = large_responses();
     let fleet = Fleet::start(&[("slots", Arc::clone(&script)), ("ledger", script)]);
     for node in [0, 1] {
         sent.store(0, Ordering::Relaxed);
@@ -48,17 +49,17 @@
         );
         caller.write_all(request.as_bytes()).expect("the node reads");
         thread::sleep(Duration::from_millis(500));
-        let ahead = sent.load(Ordering::Relaxed) * PIECE;
-        assert!(ahead < MAX_AHEAD, "{ahead} bytes are under way");
+        let in_transit = sent.load(Ordering::Relaxed) * PIECE_BYTES;
+        assert!(in_transit < MAX_BYTES_IN_TRANSIT, "{in_transit} bytes are in transit");
         let mut bytes = Vec::new();
-        caller.read_to_end(&mut bytes).expect("the answer is whole");
+        caller.read_to_end(&mut bytes).expect("the response is complete");
         let body = bytes.split(|&byte| byte == b'\n').next_back().expect("a body");
-        assert_eq!(body.len(), PIECE * PIECES, "through node {node}");
+        assert_eq!(body.len(), PIECE_BYTES * PIECE_COUNT, "through node {node}");
     }
 }
 
 #[test]
-fn large_request_bodies_reach_the_target_whole() {
+fn large_request_bodies_reach_the_target_complete() {
     let script: Script = Arc::new(|request| {
         let (_, body) = request.split_once("\r\n\r\n").unwrap_or_default();
         let body = body.len().to_string();
@@ -70,18 +71,18 @@
         for size in [1, 65_536, 65_537, 1_000_000] {
             let body = "x".repeat(size);
             let headers = [("authorization", key.as_str())];
-            let answer = call(fleet.callers(node), "POST /slots", &headers, &body);
-            assert_eq!(answer.body(), size.to_string(), "through node {node}: {answer:?}");
+            let response = call(fleet.callers(node), "POST /slots", &headers, &body);
+            assert_eq!(response.body(), size.to_string(), "through node {node}: {response:?}");
             let headers = [headers[0], ("idempotency-key", "one")];
-            let answer = call(fleet.callers(node), "PUT /slots", &headers, &body);
-            assert_eq!(answer.body(), size.to_string(), "through node {node}: {answer:?}");
+            let response = call(fleet.callers(node), "PUT /slots", &headers, &body);
+            assert_eq!(response.body(), size.to_string(), "through node {node}: {response:?}");
         }
     }
 }
 
 #[test]
-fn a_stray_answer_never_goes_to_another_request() {
-    // The target sends a second answer that nobody asked for, together with the first or later.
+fn a_stray_response_never_goes_to_another_request() {
+    // The target sends a second response without a request, together with the first or later.
     let script: Script = Arc::new(|request| {
         let stray = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray";
         let number = request.split(' ').nth(1).unwrap_or_default().replace("/slots/", "");
@@ -94,16 +95,16 @@
     });
     let fleet = Fleet::start(&[("slots", script)]);
     for number in 100..200 {
-        let answer = get(fleet.callers(0), &format!("/slots/{number}"));
-        let is_own = answer.body() == number.to_string();
-        assert!(is_own || answer.status() >= 500, "{number}: {answer:?}");
-        // HTTP/1.1 has no way to tell a stray answer that comes after the next request was sent.
+        let response = get(fleet.callers(0), &format!("/slots/{number}"));
+        let is_own = response.body() == number.to_string();
+        assert!(is_own || response.status() >= 500, "{number}: {response:?}");
+        // In HTTP/1.1 a stray response cannot be detected once the next request has been sent.
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn a_caller_that_goes_away_cancels_what_runs_for_it() {
+fn a_caller_that_disconnects_cancels_its_run() {
     let script: Script = Arc::new(|_| vec![Step::Wait(Duration::from_millis(300))]);
     let fleet = Fleet::start(&[("slots", Arc::clone(&script)), ("ledger", script)]);
     for node in [0, 1] {
@@ -115,7 +116,7 @@
         task.abort();
         let start = Instant::now();
         wait_until(|| fleet.targets[0].closed() > before);
-        // The route's time limit of three seconds would cancel it too.
+        // The route's timeout of three seconds would cancel the run too.
         assert!(start.elapsed() < Duration::from_secs(2), "through node {node}");
     }
 }
--- a/crates/mustardpin-node/tests/testsuite/whole.rs
+++ b/crates/mustardpin-node/tests/testsuite/whole.rs
@@ -1,4 +1,4 @@
-//! Answers are whole or visibly broken.
+//! Callers get complete responses, or can see that a response is truncated.
 
 use std::{
     sync::{Arc, mpsc},
@@ -8,36 +8,37 @@
 
 use bytes::Bytes;
 
-use crate::fake::{Answer, Fleet, KEY, Script, Step, exchange, get, http2, text, wait_until};
+use crate::fake::{Fleet, KEY, RawResponse, Script, Step, exchange, get, http2, text, wait_until};
 
-const HALF_BY_LENGTH: &str = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhello";
-const HALF_BY_CHUNKS: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
+const TRUNCATED_BY_LENGTH: &str = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhello";
+const TRUNCATED_BY_CHUNKS: &str =
+    "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
 const TRAILERS: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\ntrailer: x-sum\r\n\r\n\
                         5\r\nhello\r\n0\r\nx-sum: 7\r\nmustardpin-outcome: run\r\n\r\n";
 
-/// Answers by the last part of the path.
+/// Returns a script that chooses the response by the last segment of the path.
 fn script() -> Script {
     Arc::new(|request| {
         let path = request.split(' ').nth(1).unwrap_or_default();
-        let cut = |half: &str| [text(half), vec![Step::Close]].concat();
+        let send_and_close = |message: &str| [text(message), vec![Step::Close]].concat();
         match path.rsplit('/').next().unwrap_or_default() {
             "whole" => text("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello"),
-            "short" => cut(HALF_BY_LENGTH),
-            "cut" => cut(HALF_BY_CHUNKS),
+            "short" => send_and_close(TRUNCATED_BY_LENGTH),
+            "cut" => send_and_close(TRUNCATED_BY_CHUNKS),
             "trailers" => text(TRAILERS),
-            "unframed" => cut("HTTP/1.1 200 OK\r\n\r\nhello"),
+            "unframed" => send_and_close("HTTP/1.1 200 OK\r\n\r\nhello"),
             "silent" => vec![Step::Close],
-            "garbage" => cut("no HTTP at all\r\n\r\n"),
+            "garbage" => send_and_close("no HTTP at all\r\n\r\n"),
             "declined" => text(
                 "HTTP/1.1 503 Service Unavailable\r\ntarget-outcome: not-run\r\n\
                  content-length: 0\r\n\r\n",
             ),
             "slow" => {
                 let rest = vec![Step::Wait(Duration::from_secs(2)), Step::Send(b"world".to_vec())];
-                [text(HALF_BY_LENGTH), rest].concat()
+                [text(TRUNCATED_BY_LENGTH), rest].concat()
             }
             number => {
-                // Later requests are answered first.
+                // Requests with higher numbers get their responses first.
                 let number: u64 = number.parse().unwrap_or_default();
                 let wait = Step::Wait(Duration::from_millis(20 * (20 - number)));
                 let body = format!("{number}").repeat(3_000);
@@ -48,29 +49,29 @@
     })
 }
 
-/// What an HTTP/1.1 caller makes of an answer. Whether a break comes before the head or after it
-/// depends on timing; either is visible.
-fn verdict(answer: &Answer) -> String {
-    match answer.status() {
-        200 if looks_whole(answer) => format!("whole {:?}", answer.body()),
+/// Classifies a response as an HTTP/1.1 caller would. Whether the connection ends before the head
+/// or after it depends on timing; a caller can see either.
+fn classify(response: &RawResponse) -> String {
+    match response.status() {
+        200 if is_complete(response) => format!("whole {:?}", response.body()),
         0 | 200 => "not whole".to_owned(),
-        _ if answer.head().contains("mustardpin-outcome: unknown") => "not whole".to_owned(),
-        _ if answer.head().contains("mustardpin-outcome: not-run") => "not run".to_owned(),
+        _ if response.head().contains("mustardpin-outcome: unknown") => "not whole".to_owned(),
+        _ if response.head().contains("mustardpin-outcome: not-run") => "not run".to_owned(),
         status => format!("{status}"),
     }
 }
 
-/// Whether an HTTP/1.1 caller takes the answer for whole.
-fn looks_whole(answer: &Answer) -> bool {
-    let head = answer.head();
+/// Returns whether an HTTP/1.1 caller regards the response as complete.
+fn is_complete(response: &RawResponse) -> bool {
+    let head = response.head();
     if head.contains("transfer-encoding: chunked") {
-        return answer.body().ends_with("0\r\n\r\n") || answer.body().contains("\r\n0\r\n");
+        return response.body().ends_with("0\r\n\r\n") || response.body().contains("\r\n0\r\n");
     }
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
-    length.and_then(|length| length.parse().ok()) == Some(answer.body().len())
+    length.and_then(|length| length.parse().ok()) == Some(response.body().len())
 }
 
-fn ask(fleet: &Fleet, node: usize, case: &str) -> Answer {
+fn send_request(fleet: &Fleet, node: usize, case: &str) -> RawResponse {
     let request = format!(
         "GET /slots/{case} HTTP/1.1\r\nhost: fleet\r\nauthorization: Bearer {KEY}\r\n\
          te: trailers\r\nconnection: close\r\n\r\n"
@@ -79,32 +80,33 @@
 }
 
 #[test]
-fn http1_callers_see_whether_an_answer_is_whole() {
+fn http1_callers_see_whether_a_response_is_complete() {
     let fleet = Fleet::start(&[("slots", script()), ("ledger", script())]);
     let cases = ["whole", "short", "cut", "trailers", "unframed", "silent", "garbage", "declined"];
     let mut lines = Vec::new();
-    for (node, by) in [(0, "target"), (1, "peer")] {
+    for (node, path) in [(0, "target"), (1, "peer")] {
         for case in cases {
-            // A target that fails several times in a row is ejected; a whole answer ends the row.
-            ask(&fleet, node, "whole");
-            let answer = ask(&fleet, node, case);
-            lines.push(format!("{by} {case}: {}", verdict(&answer)));
+            // A target is ejected after several consecutive failures; a complete response resets
+            // their count.
+            send_request(&fleet, node, "whole");
+            let response = send_request(&fleet, node, case);
+            lines.push(format!("{path} {case}: {}", classify(&response)));
         }
     }
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn http2_callers_see_whether_an_answer_is_whole() {
+fn http2_callers_see_whether_a_response_is_complete() {
     let fleet = Fleet::start(&[("slots", script()), ("ledger", script())]);
     let mut lines = Vec::new();
-    for (node, by) in [(0, "target"), (1, "peer")] {
+    for (node, path) in [(0, "target"), (1, "peer")] {
         for case in ["whole", "short", "cut", "trailers"] {
             let line = fleet.runtime.block_on(async {
                 let mut caller = http2(fleet.callers(node)).await;
                 match caller.collect(&format!("/slots/{case}")).await {
-                    Ok((200, body, trailers)) => format!("{by} {case}: {body:?} {trailers:?}"),
-                    _ => format!("{by} {case}: not whole"),
+                    Ok((200, body, trailers)) => format!("{path} {case}: {body:?} {trailers:?}"),
+                    _ => format!("{path} {case}: not whole"),
                 }
             });
             lines.push(line);
@@ -121,8 +123,8 @@
         let calls = (0..20).map(|number| {
             let mut caller = caller.clone();
             async move {
-                let answer = caller.collect(&format!("/slots/{number}")).await;
-                (number, answer.expect("a whole answer").1)
+                let response = caller.collect(&format!("/slots/{number}")).await;
+                (number, response.expect("a complete response").1)
             }
         });
         futures::future::join_all(calls).await
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn an_answer_breaks_visibly_when_the_peer_that_runs_it_dies() {
+fn a_response_is_visibly_truncated_when_the_peer_that_runs_it_dies() {
     let mut fleet = Fleet::start(&[("slots", script()), ("ledger", script())]);
     let callers = fleet.callers(1);
     let (sender, receiver) = mpsc::channel();
@@ -141,8 +143,8 @@
     wait_until(|| !fleet.targets[0].seen().is_empty());
     thread::sleep(Duration::from_millis(100));
     fleet.nodes.remove(0).kill();
-    let answer = receiver.recv().expect("the caller ends");
-    // Half of a small answer is never begun.
-    assert_eq!(answer.status(), 502, "{answer:?}");
-    assert_eq!(verdict(&answer), "not whole");
+    let response = receiver.recv().expect("the caller thread ends");
+    // A small response is not started before it is complete.
+    assert_eq!(response.status(), 502, "{response:?}");
+    assert_eq!(classify(&response), "not whole");
 }
