--- a/crates/mustardpin-node/src/admin/bridge.rs
+++ b/crates/mustardpin-node/src/admin/bridge.rs
@@ -1,4 +1,4 @@
-//! The control thread as the administration API sees it.
+//! Connects the administration API to the control thread.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
 use mustardpin_world::event::Proposal;
 
 use crate::{
-    admin::{Answer, Control, Stopping},
+    admin::{Control, ProposalResult, Stopping},
     clock::Clock,
     control::Handle,
 };
 
-/// Asks the control thread.
+/// Implements [`Control`] by queries to the control thread.
 pub struct Bridge {
     control: Handle,
     clock: Arc<dyn Clock>,
 }
 
 impl Bridge {
-    /// A bridge to a control thread that lives by this clock.
+    /// Creates a bridge to the control thread that uses this clock.
     pub fn new(control: Handle, clock: Arc<dyn Clock>) -> Bridge {
         Bridge { control, clock }
     }
 }
 
 impl Control for Bridge {
-    fn propose(&self, proposal: Proposal) -> BoxFuture<'_, Result<Answer, Stopping>> {
+    fn propose(&self, proposal: Proposal) -> BoxFuture<'_, Result<ProposalResult, Stopping>> {
         Box::pin(async { self.control.propose(proposal).await.map_err(|_| Stopping) })
     }
 
--- a/crates/mustardpin-node/src/launch.rs
+++ b/crates/mustardpin-node/src/launch.rs
@@ -1,4 +1,4 @@
-//! What a node needs to know to start.
+//! The parameters that a node starts with.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -14,54 +14,53 @@
 
 use crate::{control::Handle, log, store::Store};
 
-/// Makes the client to the platform's store. Replies go to the control thread; what has to wait
-/// runs on the runtime that it is called in.
-pub type MakeStore = Box<dyn FnOnce(Handle) -> Box<dyn Store> + Send>;
+/// Creates the client of the platform's store. The client sends replies to the control thread, and
+/// runs its tasks on the runtime in whose context the factory is called.
+pub type StoreFactory = Box<dyn FnOnce(Handle) -> Box<dyn Store> + Send>;
 
-/// Everything a node is told when it starts.
+/// The parameters that a node starts with.
 pub struct Launch {
-    /// The name of the place that the process runs in. A process that takes its place has the same
-    /// name.
+    /// The node name. A process that replaces this one has the same name.
     pub name: CompactString,
     /// The name of the node's data centre.
     pub data_centre: CompactString,
     /// The service that the node's target belongs to.
     pub service: CompactString,
-    /// Where the node listens.
+    /// The addresses that the node listens on.
     pub addresses: Addresses,
     /// The digest of the credential that all nodes of the fleet share.
     pub fleet_credential: KeyDigest,
     /// The digest of the credential that operators show.
     pub operator_credential: KeyDigest,
-    /// What callers and targets say.
+    /// The dialect that callers and targets use.
     pub dialect: Arc<dyn Dialect>,
-    /// The client to the platform's store.
-    pub store: MakeStore,
-    /// Addresses of nodes to ask for peers.
+    /// Creates the client of the platform's store.
+    pub store: StoreFactory,
+    /// Addresses of nodes from which this node discovers its peers.
     pub seeds: Vec<SocketAddr>,
-    /// How log lines are written.
+    /// Options of the log.
     pub log: log::Options,
-    /// The file that the settings come from, to be read again when it changes.
+    /// The settings file, which is reloaded when it changes.
     pub settings_file: Option<PathBuf>,
-    /// What the process may use.
+    /// The resource limits of the process.
     pub limits: Limits,
     /// Options of the node's decisions.
     pub options: Options,
 }
 
-/// What stands at a node's borders and is not a matter of settings.
-pub struct Borders {
-    /// What callers and targets say.
+/// The parameters of a node that do not come from the settings.
+pub struct Dependencies {
+    /// The dialect that callers and targets use.
     pub dialect: Arc<dyn Dialect>,
-    /// The client to the platform's store.
-    pub store: MakeStore,
-    /// The file that the settings come from, to be read again when it changes.
+    /// Creates the client of the platform's store.
+    pub store: StoreFactory,
+    /// The settings file, which is reloaded when it changes.
     pub settings_file: Option<PathBuf>,
 }
 
 impl Launch {
-    /// What settings mean for a node.
-    pub fn new(settings: Settings, borders: Borders) -> Launch {
+    /// Combines settings and dependencies.
+    pub fn new(settings: Settings, dependencies: Dependencies) -> Launch {
         Launch {
             name: settings.name,
             data_centre: settings.data_centre,
@@ -69,11 +68,11 @@
             addresses: settings.addresses.into(),
             fleet_credential: KeyDigest::of(&settings.credentials.fleet),
             operator_credential: KeyDigest::of(&settings.credentials.operator),
-            dialect: borders.dialect,
-            store: borders.store,
+            dialect: dependencies.dialect,
+            store: dependencies.store,
             seeds: settings.seeds,
             log: settings.log.into(),
-            settings_file: borders.settings_file,
+            settings_file: dependencies.settings_file,
             limits: settings.limits.into(),
             options: settings.options,
         }
@@ -104,41 +103,41 @@
             requests: limits.requests,
             header_size: limits.header_size,
             body_size: limits.body_size,
-            replay_size: limits.replay_size,
-            kept_size: limits.kept_size,
+            retry_body_size: limits.replay_size,
+            buffered_size: limits.kept_size,
             header_timeout: duration(limits.header_timeout),
             body_timeout: duration(limits.body_timeout),
             idle_timeout: duration(limits.idle_timeout),
-            close_linger: duration(limits.close_linger),
+            drain_idle_timeout: duration(limits.close_linger),
             exit_grace: duration(limits.exit_grace),
             traffic_threads: limits.traffic_threads,
         }
     }
 }
 
-/// Where a node listens. Port zero takes any free port.
+/// The addresses that a node listens on. Port zero takes any free port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
     /// HTTP from callers.
     pub callers: SocketAddr,
-    /// HTTP from the node's own target: its reports and the calls it makes.
+    /// HTTP from the local target: its reports and the calls it makes.
     pub local: Option<SocketAddr>,
-    /// HTTP from the node's own target: its reports only.
+    /// HTTP from the local target: its reports only.
     pub reports: Option<SocketAddr>,
-    /// Questions whether the node is ready.
+    /// Readiness checks.
     pub readiness: Option<SocketAddr>,
     /// Requests and messages from peers.
     pub peers: SocketAddr,
-    /// Where other nodes reach `peers`, if that is another address.
+    /// The address at which other nodes reach `peers`, if it is another one.
     pub announced: Option<SocketAddr>,
     /// The administration API.
     pub admin: Option<SocketAddr>,
-    /// Counters and histograms, for whoever collects them.
+    /// Counters and histograms, for metrics collectors.
     pub metrics: Option<SocketAddr>,
 }
 
 impl Addresses {
-    /// Free ports of the loopback interface.
+    /// Returns free ports of the loopback interface.
     ///
     /// ```
     /// assert!(mustardpin_node::launch::Addresses::loopback().callers.ip().is_loopback());
@@ -158,38 +157,37 @@
     }
 }
 
-/// What one process may use.
+/// The resource limits of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections at once, on each port.
+    /// The maximum number of connections at once, on each port.
     pub connections: usize,
-    /// Requests in progress at once.
+    /// The maximum number of requests in progress.
     pub requests: usize,
-    /// The size of a request's headers, in bytes.
+    /// The maximum size of a request's headers, in bytes.
     pub header_size: usize,
-    /// The size of a request's body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_size: usize,
-    /// The size of a request's body that is kept so that it can be sent again, in bytes.
-    pub replay_size: usize,
-    /// The size of all request bodies kept at once, in bytes.
-    pub kept_size: usize,
-    /// How long a request's headers may take to come.
+    /// The maximum size of a request's body that is buffered for retries, in bytes.
+    pub retry_body_size: usize,
+    /// The maximum size of all buffered request bodies together, in bytes.
+    pub buffered_size: usize,
+    /// The timeout for receiving a request's headers.
     pub header_timeout: Duration,
-    /// How long a sender may pause within a request's body.
+    /// The maximum pause while a request's body is received.
     pub body_timeout: Duration,
-    /// How long a connection may be idle.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Idle connections are closed when they have been idle for this long after the node began to
-    /// leave.
-    pub close_linger: Duration,
-    /// How long connections may take to end once the node has finished all requests.
+    /// While the node is draining, the time after which an idle connection is closed.
+    pub drain_idle_timeout: Duration,
+    /// The time that connections have to end after the node has finished all requests.
     pub exit_grace: Duration,
-    /// Threads for traffic.
+    /// The number of traffic threads.
     pub traffic_threads: usize,
 }
 
 impl Limits {
-    /// What callers may send, where the configuration does not say.
+    /// Returns the limits for callers' requests that hold where the configuration sets none.
     pub(crate) fn callers(&self) -> CallerLimits {
         let millis = |length: Duration| Millis(length.as_millis() as u64);
         CallerLimits {
@@ -208,12 +206,12 @@
             requests: 2_048,
             header_size: 16 * 1024,
             body_size: 8 * 1024 * 1024,
-            replay_size: 64 * 1024,
-            kept_size: 64 * 1024 * 1024,
+            retry_body_size: 64 * 1024,
+            buffered_size: 64 * 1024 * 1024,
             header_timeout: Duration::from_secs(10),
             body_timeout: Duration::from_secs(10),
             idle_timeout: Duration::from_secs(60),
-            close_linger: Duration::from_secs(1),
+            drain_idle_timeout: Duration::from_secs(1),
             exit_grace: Duration::from_secs(5),
             traffic_threads: 2,
         }
