--- a/crates/mustardpin-http/src/head.rs
+++ b/crates/mustardpin-http/src/head.rs
@@ -10,7 +10,7 @@
 };
 
 /// A head with more fields than this is too large.
-pub const MAX_FIELDS: usize = 100;
+pub const MAX_HEADERS: usize = 100;
 
 /// The head of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,7 +53,7 @@
     /// ```
     pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Request>, Error> {
         skip_empty_lines(buffer);
-        let mut fields = [const { MaybeUninit::uninit() }; MAX_FIELDS];
+        let mut fields = [const { MaybeUninit::uninit() }; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut []);
         let status = parsed.parse_with_uninit_headers(buffer, &mut fields);
         let Some(length) = complete(status, buffer.len(), limit)? else { return Ok(None) };
@@ -115,7 +115,7 @@
     /// # Ok::<(), mustardpin_http::Error>(())
     /// ```
     pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Response>, Error> {
-        let mut fields = [const { MaybeUninit::uninit() }; MAX_FIELDS];
+        let mut fields = [const { MaybeUninit::uninit() }; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut []);
         let config = httparse::ParserConfig::default();
         let status = config.parse_response_with_uninit_headers(&mut parsed, buffer, &mut fields);
--- a/crates/mustardpin-http/src/write.rs
+++ b/crates/mustardpin-http/src/write.rs
@@ -33,10 +33,10 @@
 ///
 /// ```
 /// let mut out = Vec::new();
-/// mustardpin_http::write::field(&mut out, "Retry-After", b"1");
+/// mustardpin_http::write::header(&mut out, "Retry-After", b"1");
 /// assert_eq!(out, b"Retry-After: 1\r\n");
 /// ```
-pub fn field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+pub fn header(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
     out.extend_from_slice(value);
@@ -47,11 +47,11 @@
 ///
 /// ```
 /// let mut out = Vec::new();
-/// mustardpin_http::write::number(&mut out, "Content-Length", 12);
+/// mustardpin_http::write::numeric_header(&mut out, "Content-Length", 12);
 /// assert_eq!(out, b"Content-Length: 12\r\n");
 /// ```
-pub fn number(out: &mut Vec<u8>, name: &str, value: u64) {
-    field(out, name, itoa::Buffer::new().format(value).as_bytes());
+pub fn numeric_header(out: &mut Vec<u8>, name: &str, value: u64) {
+    header(out, name, itoa::Buffer::new().format(value).as_bytes());
 }
 
 /// Writes the size of a chunk of this many bytes, before its bytes; after them comes a line end.
--- a/crates/mustardpin-http/tests/testsuite/head.rs
+++ b/crates/mustardpin-http/tests/testsuite/head.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use mustardpin_http::{
     Error,
-    head::{MAX_FIELDS, Request, Response},
+    head::{MAX_HEADERS, Request, Response},
 };
 use proptest::prelude::*;
 
@@ -60,7 +60,7 @@
 fn heads_over_the_limit_are_refused() {
     let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(LIMIT));
     assert_eq!(Request::take(&mut BytesMut::from(&*long), LIMIT), Err(Error::HeadTooLarge));
-    let lines = "a: b\r\n".repeat(MAX_FIELDS + 1);
+    let lines = "a: b\r\n".repeat(MAX_HEADERS + 1);
     let many = format!("GET / HTTP/1.1\r\n{lines}\r\n");
     assert_eq!(Request::take(&mut BytesMut::from(&*many), 64 * 1024), Err(Error::HeadTooLarge));
 }
--- a/crates/mustardpin-node/src/traffic/caller/writing.rs
+++ b/crates/mustardpin-node/src/traffic/caller/writing.rs
@@ -42,12 +42,12 @@
         write::status_line(&mut self.out, status);
         self.out.extend_from_slice(&fields);
         if closes {
-            write::field(&mut self.out, "connection", b"close");
+            write::header(&mut self.out, "connection", b"close");
         }
         match body {
             Body::Empty => self.out.extend_from_slice(b"\r\n"),
             Body::Whole(bytes) => {
-                write::number(&mut self.out, "content-length", bytes.len() as u64);
+                write::numeric_header(&mut self.out, "content-length", bytes.len() as u64);
                 self.out.extend_from_slice(b"\r\n");
                 if bytes.len() <= JOINED_BYTES {
                     self.out.extend_from_slice(&bytes);
@@ -58,9 +58,9 @@
             Body::Stream(rest) => {
                 let in_chunks = rest.length.is_none() && takes_chunks;
                 if let Some(length) = rest.length {
-                    write::number(&mut self.out, "content-length", length);
+                    write::numeric_header(&mut self.out, "content-length", length);
                 } else if in_chunks {
-                    write::field(&mut self.out, "transfer-encoding", b"chunked");
+                    write::header(&mut self.out, "transfer-encoding", b"chunked");
                 }
                 self.out.extend_from_slice(b"\r\n");
                 self.coming = Some(Coming { rest, in_chunks });
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -147,10 +147,10 @@
     let delivery = DeliveryHeaders { instance: &place.instance, token: run.token, left };
     board.dialect.write_delivery_headers(delivery, &mut out);
     match body {
-        Kind::Chunks => write::field(&mut out, "transfer-encoding", b"chunked"),
-        Kind::Length(length) => write::number(&mut out, "content-length", length),
+        Kind::Chunks => write::header(&mut out, "transfer-encoding", b"chunked"),
+        Kind::Length(length) => write::numeric_header(&mut out, "content-length", length),
         Kind::Whole([]) if matches!(&*request.method, "GET" | "HEAD" | "DELETE") => {}
-        Kind::Whole(bytes) => write::number(&mut out, "content-length", bytes.len() as u64),
+        Kind::Whole(bytes) => write::numeric_header(&mut out, "content-length", bytes.len() as u64),
     }
     out.extend_from_slice(b"\r\n");
     if let Kind::Whole(bytes) = body {
@@ -295,7 +295,7 @@
         if framing == Framing::Empty
             && let Some(length) = head.headers.get("content-length")
         {
-            write::field(&mut fields, "content-length", length);
+            write::header(&mut fields, "content-length", length);
         }
         let head = Head { status: head.status, fields: fields.into(), load };
         let outcome = self.body(head, framing).await?;
--- a/crates/mustardpin-standin/src/platform/front.rs
+++ b/crates/mustardpin-standin/src/platform/front.rs
@@ -57,12 +57,12 @@
         let (parts, body) = request.into_parts();
         let query = Query::parse(parts.uri.query().unwrap_or_default());
         match (parts.method, parts.uri.path()) {
-            (Method::GET, call::GET) => {
+            (Method::GET, call::GET_PATH) => {
                 let rows = self.ask(|reply| Event::Get(query, reply)).await?;
                 Ok(json(StatusCode::OK, &rows))
             }
-            (Method::GET, call::FEED) => self.feed(query).await,
-            (Method::POST, call::TRANSACT) => {
+            (Method::GET, call::FEED_PATH) => self.feed(query).await,
+            (Method::POST, call::TRANSACT_PATH) => {
                 let transaction = match read_json::<Transaction>(body).await {
                     Ok(transaction) => transaction,
                     Err(response) => return Ok(response),
--- a/crates/mustardpin-wire/src/native.rs
+++ b/crates/mustardpin-wire/src/native.rs
@@ -76,8 +76,8 @@
 
     fn write_delivery_headers(&self, delivery: DeliveryHeaders<'_>, fields: &mut Vec<u8>) {
         let token = format_compact!("{:032x}", delivery.token.0);
-        write::field(fields, header::CALL, token.as_bytes());
-        write::number(fields, header::REQUEST_TIMEOUT_MS, delivery.left.0);
+        write::header(fields, header::CALL, token.as_bytes());
+        write::numeric_header(fields, header::REQUEST_TIMEOUT_MS, delivery.left.0);
     }
 
     fn read_response(&self, _id: &str, head: &Response) -> ResponseKind {
--- a/crates/mustardpin-wire/src/refusal.rs
+++ b/crates/mustardpin-wire/src/refusal.rs
@@ -29,11 +29,11 @@
 /// ```
 pub fn write(refusal: &refusal::Refusal, fields: &mut Vec<u8>) -> Bytes {
     let (reason, outcome) = (refusal.reason.to_string(), refusal.outcome.to_string());
-    write::field(fields, header::OUTCOME, outcome.as_bytes());
-    write::field(fields, header::REASON, reason.as_bytes());
-    write::field(fields, "content-type", header::PROBLEM_JSON.as_bytes());
+    write::header(fields, header::OUTCOME, outcome.as_bytes());
+    write::header(fields, header::REASON, reason.as_bytes());
+    write::header(fields, "content-type", header::PROBLEM_JSON.as_bytes());
     if let Some(wait) = refusal.retry_after {
-        write::number(fields, "retry-after", whole_seconds(wait));
+        write::numeric_header(fields, "retry-after", whole_seconds(wait));
     }
     let status = refusal.status();
     let title = title(status);
--- a/crates/mustardpin-wire/src/scrub.rs
+++ b/crates/mustardpin-wire/src/scrub.rs
@@ -73,7 +73,7 @@
         let is_named = names_others && headers.has_token("connection", name);
         let is_length = name.eq_ignore_ascii_case("content-length");
         if !is_named && !is_length && !header::is_hop_by_hop(name) && passes(name, value) {
-            write::field(out, name, value);
+            write::header(out, name, value);
         }
     }
 }
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -4,7 +4,7 @@
 
 use lexopt::Parser;
 use mustardpin_node::{Launch, launch::Borders};
-use mustardpin_platform::{Client, store::WhoWrites};
+use mustardpin_platform::{Client, store::Writers};
 use mustardpin_settings::Settings;
 use mustardpin_wire::native::Native;
 
@@ -26,7 +26,7 @@
     let borders = Borders {
         dialect: Arc::new(Native::new(settings.service.clone())),
         store: Box::new(move |control| {
-            Box::new(Client::new(platform.address, platform.timeout, WhoWrites::Nodes, control))
+            Box::new(Client::new(platform.address, platform.timeout, Writers::Nodes, control))
         }),
         settings_file: Some(file),
     };
