--- a/crates/mustardpin-http/src/body.rs
+++ b/crates/mustardpin-http/src/body.rs
@@ -1,24 +1,24 @@
-//! Bodies, read piece by piece.
+//! Incremental decoding of message bodies.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::{error::Error, framing::Framing, headers::Headers};
 
-/// The longest line with the size of a chunk, in bytes, with its extensions.
-const MAX_SIZE_LINE: usize = 256;
-/// The most bytes of trailers.
-const MAX_TRAILERS: usize = 8 * 1024;
-/// The most fields among them.
-const MAX_TRAILER_FIELDS: usize = 32;
+/// The longest chunk-size line, in bytes, including chunk extensions.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
+/// The largest trailer section, in bytes.
+const MAX_TRAILERS_BYTES: usize = 8 * 1024;
+/// The largest number of trailers.
+const MAX_TRAILER_COUNT: usize = 32;
 
-/// What a body gives next.
+/// The result of decoding the next part of a body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Piece {
-    /// Bytes of the body.
+    /// Bytes of the body, without chunk framing.
     Data(Bytes),
-    /// More has to be read first.
+    /// More input is needed.
     Pending,
-    /// The body is complete, and these fields follow it.
+    /// The body is complete and is followed by these trailers.
     Trailers(Box<Headers>),
     /// The body is complete.
     End,
@@ -26,20 +26,22 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// So many bytes are left of the body.
+    /// The bytes left of a body with a content length.
     Length(u64),
+    /// Before a chunk-size line.
     ChunkSize,
-    /// So many bytes are left of the chunk.
+    /// The bytes left of the current chunk.
     ChunkData(u64),
-    /// The line end after a chunk.
+    /// Before the line break that ends a chunk's data.
     ChunkEnd,
     /// After the last chunk.
     Trailers,
+    /// The body ends when the connection is closed.
     UntilClose,
     End,
 }
 
-/// The body of a message that is being read.
+/// A decoder for the body of one message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Body {
     state: State,
@@ -58,11 +60,11 @@
 }
 
 impl Body {
-    /// Takes the next piece off the front of a buffer.
+    /// Removes the next piece from the front of a buffer.
     ///
     /// # Errors
     ///
-    /// If a chunk is malformed.
+    /// If a chunk or the trailer section is malformed.
     ///
     /// ```
     /// use bytes::BytesMut;
@@ -115,11 +117,11 @@
         }
     }
 
-    /// Whether the body is complete now that the connection has ended.
+    /// Checks that the body is complete after the connection was closed.
     ///
     /// # Errors
     ///
-    /// If something is missing.
+    /// If the body is truncated.
     pub fn end_of_stream(&self) -> Result<(), Error> {
         match self.state {
             State::End | State::UntilClose => Ok(()),
@@ -127,41 +129,41 @@
         }
     }
 
-    /// Whether the body is complete.
+    /// Whether the whole body has been decoded.
     pub fn is_complete(&self) -> bool {
         self.state == State::End
     }
 }
 
-/// Takes up to `left` bytes. Returns them and what is left after them.
+/// Removes up to `left` bytes from the buffer. Returns them and the number of bytes still left.
 fn split(buffer: &mut BytesMut, left: u64) -> (Bytes, u64) {
     let length = left.min(buffer.len() as u64);
     (buffer.split_to(length as usize).freeze(), left - length)
 }
 
-/// Takes the line with a chunk's size, if it is there in full.
+/// Removes a chunk-size line from the buffer. Returns `None` if the line is incomplete.
 fn chunk_size(buffer: &mut BytesMut) -> Result<Option<u64>, Error> {
     match httparse::parse_chunk_size(buffer) {
         Ok(httparse::Status::Complete((length, size))) => {
             let _ = buffer.split_to(length);
             Ok(Some(size))
         }
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_SIZE_LINE => Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_CHUNK_SIZE_LINE_BYTES => Ok(None),
         _ => Err(Error::Chunk),
     }
 }
 
-/// Takes the fields after the last chunk, if they are there in full.
+/// Removes the trailer section from the buffer. Returns `None` if the section is incomplete.
 fn trailers(buffer: &mut BytesMut) -> Result<Option<Headers>, Error> {
-    let mut fields = [httparse::EMPTY_HEADER; MAX_TRAILER_FIELDS];
-    match httparse::parse_headers(buffer, &mut fields) {
-        Ok(httparse::Status::Complete((length, parsed))) if length <= MAX_TRAILERS => {
-            let fields = parsed.iter().map(|field| (field.name, field.value));
-            let trailers = fields.collect();
+    let mut headers = [httparse::EMPTY_HEADER; MAX_TRAILER_COUNT];
+    match httparse::parse_headers(buffer, &mut headers) {
+        Ok(httparse::Status::Complete((length, parsed))) if length <= MAX_TRAILERS_BYTES => {
+            let headers = parsed.iter().map(|header| (header.name, header.value));
+            let trailers = headers.collect();
             let _ = buffer.split_to(length);
             Ok(Some(trailers))
         }
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_TRAILERS => Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_TRAILERS_BYTES => Ok(None),
         _ => Err(Error::Chunk),
     }
 }
--- a/crates/mustardpin-http/src/error.rs
+++ b/crates/mustardpin-http/src/error.rs
@@ -1,29 +1,29 @@
-//! What is wrong with a message.
+//! Errors of parsing a message.
 
 use derive_more::{Display, Error, From};
 
-/// Why a message cannot be read.
+/// Why a message cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Display, Error, From)]
 pub enum Error {
-    /// A line does not follow the grammar.
+    /// A line of the head is malformed.
     #[display("a line of the head does not follow the grammar")]
     Syntax(httparse::Error),
-    /// The head is larger than the limit, or has too many fields.
+    /// The head is larger than the limit, or has more than [`crate::head::MAX_HEADERS`] headers.
     #[display("the head is too large")]
     HeadTooLarge,
-    /// The protocol version is not HTTP/1.0 or HTTP/1.1.
+    /// The protocol version is neither HTTP/1.0 nor HTTP/1.1.
     #[display("the protocol version is not HTTP/1.0 or HTTP/1.1")]
     Version,
-    /// The fields do not say unambiguously where the body ends.
+    /// The headers do not define the end of the body unambiguously.
     #[display("it is ambiguous where the body ends: {_0}")]
     #[from(skip)]
     Framing(#[error(not(source))] &'static str),
-    /// A chunk of the body does not follow the grammar.
+    /// A chunk or the trailer section is malformed.
     #[display("a chunk of the body does not follow the grammar")]
     #[from(skip)]
     Chunk,
-    /// The connection ended inside a message.
+    /// The connection was closed before the end of a message.
     #[display("the connection ended inside a message")]
     Truncated,
 }
--- a/crates/mustardpin-http/src/head.rs
+++ b/crates/mustardpin-http/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses.
+//! Parsing of request and response heads.
 
 use std::mem::MaybeUninit;
 
@@ -9,7 +9,7 @@
     headers::{self, Headers},
 };
 
-/// A head with more fields than this is too large.
+/// The largest number of headers in a head; a head with more is refused as too large.
 pub const MAX_HEADERS: usize = 100;
 
 /// The head of a request.
@@ -17,9 +17,9 @@
 pub struct Request {
     method: Bytes,
     target: Bytes,
-    /// Whether the sender speaks HTTP/1.1 rather than HTTP/1.0.
+    /// Whether the message's version is HTTP/1.1 rather than HTTP/1.0.
     pub is_version_11: bool,
-    /// The fields.
+    /// The headers.
     pub headers: Headers,
 }
 
@@ -28,14 +28,14 @@
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// Whether the sender speaks HTTP/1.1 rather than HTTP/1.0.
+    /// Whether the message's version is HTTP/1.1 rather than HTTP/1.0.
     pub is_version_11: bool,
-    /// The fields.
+    /// The headers.
     pub headers: Headers,
 }
 
 impl Request {
-    /// Takes a head off the front of a buffer. Returns `None` if it is not there in full.
+    /// Removes a head from the front of a buffer. Returns `None` if the head is incomplete.
     ///
     /// # Errors
     ///
@@ -53,21 +53,21 @@
     /// ```
     pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Request>, Error> {
         skip_empty_lines(buffer);
-        let mut fields = [const { MaybeUninit::uninit() }; MAX_HEADERS];
+        let mut headers = [const { MaybeUninit::uninit() }; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut []);
-        let status = parsed.parse_with_uninit_headers(buffer, &mut fields);
-        let Some(length) = complete(status, buffer.len(), limit)? else { return Ok(None) };
+        let status = parsed.parse_with_uninit_headers(buffer, &mut headers);
+        let Some(length) = complete_length(status, buffer.len(), limit)? else { return Ok(None) };
         let version = parsed.version;
         let method = range_of(buffer, parsed.method.unwrap_or_default().as_bytes());
         let target = range_of(buffer, parsed.path.unwrap_or_default().as_bytes());
-        let fields = headers::places(buffer, parsed.headers);
+        let spans = headers::find_spans(buffer, parsed.headers);
         let bytes = buffer.split_to(length).freeze();
         let (method, target) = (bytes.slice(method), bytes.slice(target));
-        let headers = Headers::new(bytes, fields);
+        let headers = Headers::new(bytes, spans);
         Ok(Some(Request { method, target, is_version_11: version == Some(1), headers }))
     }
 
-    /// A head that did not come as text, for requests that arrive in another version of HTTP.
+    /// Builds the head of a request that was received in another version of HTTP.
     ///
     /// ```
     /// use mustardpin_http::{Headers, head::Request};
@@ -87,23 +87,23 @@
         std::str::from_utf8(&self.method).unwrap_or_default()
     }
 
-    /// The target: path and query, as they came.
+    /// The request target: path and query, unchanged.
     pub fn target(&self) -> &str {
         std::str::from_utf8(&self.target).unwrap_or_default()
     }
 
-    /// Whether the sender wants to use the connection for further requests.
+    /// Whether the client keeps the connection open for further requests.
     pub fn is_persistent(&self) -> bool {
         is_persistent(self.is_version_11, &self.headers)
     }
 }
 
 impl Response {
-    /// Takes a head off the front of a buffer. Returns `None` if it is not there in full.
+    /// Removes a head from the front of a buffer. Returns `None` if the head is incomplete.
     ///
     /// # Errors
     ///
-    /// As for requests.
+    /// The same as for [`Request::take`].
     ///
     /// ```
     /// use bytes::BytesMut;
@@ -115,18 +115,18 @@
     /// # Ok::<(), mustardpin_http::Error>(())
     /// ```
     pub fn take(buffer: &mut BytesMut, limit: usize) -> Result<Option<Response>, Error> {
-        let mut fields = [const { MaybeUninit::uninit() }; MAX_HEADERS];
+        let mut headers = [const { MaybeUninit::uninit() }; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut []);
         let config = httparse::ParserConfig::default();
-        let status = config.parse_response_with_uninit_headers(&mut parsed, buffer, &mut fields);
-        let Some(length) = complete(status, buffer.len(), limit)? else { return Ok(None) };
+        let status = config.parse_response_with_uninit_headers(&mut parsed, buffer, &mut headers);
+        let Some(length) = complete_length(status, buffer.len(), limit)? else { return Ok(None) };
         let (code, version) = (parsed.code.unwrap_or_default(), parsed.version);
-        let fields = headers::places(buffer, parsed.headers);
-        let headers = Headers::new(buffer.split_to(length).freeze(), fields);
+        let spans = headers::find_spans(buffer, parsed.headers);
+        let headers = Headers::new(buffer.split_to(length).freeze(), spans);
         Ok(Some(Response { status: code, is_version_11: version == Some(1), headers }))
     }
 
-    /// Whether the sender will take further requests on the connection.
+    /// Whether the server keeps the connection open for further requests.
     pub fn is_persistent(&self) -> bool {
         is_persistent(self.is_version_11, &self.headers)
     }
@@ -139,15 +139,16 @@
     is_version_11 || headers.has_token("connection", "keep-alive")
 }
 
-/// Empty lines before a request line are ignored, as RFC 9112 asks for.
+/// Skips empty lines before a request line, as RFC 9112 recommends.
 fn skip_empty_lines(buffer: &mut BytesMut) {
     while buffer.starts_with(b"\r\n") {
         let _ = buffer.split_to(2);
     }
 }
 
-/// The length of a head that is there in full.
-fn complete(
+/// The length of a complete head in bytes, or `None` if more input is needed. `available` and
+/// `limit` are in bytes.
+fn complete_length(
     status: Result<httparse::Status<usize>, httparse::Error>,
     available: usize,
     limit: usize,
@@ -161,6 +162,7 @@
     }
 }
 
+/// The range of `slice` within `buffer`; `slice` must be a part of `buffer`.
 fn range_of(buffer: &[u8], slice: &[u8]) -> std::ops::Range<usize> {
     let start = slice.as_ptr() as usize - buffer.as_ptr() as usize;
     start..start + slice.len()
--- a/crates/mustardpin-http/src/headers.rs
+++ b/crates/mustardpin-http/src/headers.rs
@@ -1,40 +1,40 @@
-//! The fields of a head, as ranges into the bytes that they came in.
+//! Headers, stored as ranges into the bytes of their head.
 
 use bytes::Bytes;
 use smallvec::SmallVec;
 
-/// Heads with up to this many fields need no allocation of their own.
-const INLINE_FIELDS: usize = 16;
+/// The number of headers whose spans are stored without a heap allocation.
+const INLINE_HEADERS: usize = 16;
 
-/// Where a field stands in the bytes of its head.
+/// The byte ranges (start, end) of a header's name and value within its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Field {
+pub(crate) struct Span {
     name: (u32, u32),
     value: (u32, u32),
 }
 
-/// The places of all fields of a head.
-pub(crate) type Fields = SmallVec<[Field; INLINE_FIELDS]>;
+/// The spans of all headers of a head.
+pub(crate) type Spans = SmallVec<[Span; INLINE_HEADERS]>;
 
-/// The fields of a head, in the order in which they came.
+/// The headers of a message, in the order in which they were received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers {
     bytes: Bytes,
-    fields: Fields,
+    spans: Spans,
 }
 
 impl Headers {
-    /// Fields that stand at these places in `bytes`.
-    pub(crate) fn new(bytes: Bytes, fields: Fields) -> Headers {
-        Headers { bytes, fields }
+    /// Headers that have these spans in `bytes`.
+    pub(crate) fn new(bytes: Bytes, spans: Spans) -> Headers {
+        Headers { bytes, spans }
     }
 
-    /// All fields.
+    /// All headers as pairs of name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.fields.iter().map(|field| (self.name(*field), self.slice(field.value)))
+        self.spans.iter().map(|span| (self.name(*span), self.slice(span.value)))
     }
 
-    /// The value of the first field of this name, in whatever case.
+    /// The value of the first header with this name; case is ignored.
     ///
     /// ```
     /// use mustardpin_http::Headers;
@@ -46,19 +46,20 @@
         self.iter().find(|(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The values of all fields of this name, in whatever case.
+    /// The values of all headers with this name; case is ignored.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter()
             .filter(move |(other, _)| other.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// The value of the first field of this name, if it is text.
+    /// The value of the first header with this name; `None` if the value is not UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|value| std::str::from_utf8(value).ok())
     }
 
-    /// Whether a field of this name is a comma-separated list that holds a token, in whatever case.
+    /// Whether a header with this name is a comma-separated list that contains a token. Case is
+    /// ignored in the name and the token.
     ///
     /// ```
     /// use mustardpin_http::Headers;
@@ -70,19 +71,19 @@
         self.get_all(name).any(|value| has_token(value, token))
     }
 
-    /// How many fields there are.
+    /// The number of headers.
     pub fn len(&self) -> usize {
-        self.fields.len()
+        self.spans.len()
     }
 
-    /// Whether there are no fields.
+    /// Whether there are no headers.
     pub fn is_empty(&self) -> bool {
-        self.fields.is_empty()
+        self.spans.is_empty()
     }
 
-    fn name(&self, field: Field) -> &str {
+    fn name(&self, span: Span) -> &str {
         // Parsed names are tokens, which are ASCII.
-        std::str::from_utf8(self.slice(field.name)).unwrap_or_default()
+        std::str::from_utf8(self.slice(span.name)).unwrap_or_default()
     }
 
     fn slice(&self, (from, to): (u32, u32)) -> &[u8] {
@@ -91,24 +92,25 @@
 }
 
 impl<'a> FromIterator<(&'a str, &'a [u8])> for Headers {
-    /// Fields from names and values, which must be valid HTTP tokens and field values.
-    fn from_iter<I: IntoIterator<Item = (&'a str, &'a [u8])>>(fields: I) -> Headers {
+    /// Builds headers from names, which must be valid HTTP tokens, and values, which must be valid
+    /// field values.
+    fn from_iter<I: IntoIterator<Item = (&'a str, &'a [u8])>>(headers: I) -> Headers {
         let mut bytes = Vec::new();
-        let mut places = Fields::new();
-        for (name, value) in fields {
+        let mut header_spans = Spans::new();
+        for (name, value) in headers {
             let start = bytes.len() as u32;
             bytes.extend_from_slice(name.as_bytes());
             let middle = bytes.len() as u32;
             bytes.extend_from_slice(value);
             let end = bytes.len() as u32;
-            places.push(Field { name: (start, middle), value: (middle, end) });
+            header_spans.push(Span { name: (start, middle), value: (middle, end) });
         }
-        Headers { bytes: bytes.into(), fields: places }
+        Headers { bytes: bytes.into(), spans: header_spans }
     }
 }
 
-/// The places of parsed fields in the buffer that they were parsed from.
-pub(crate) fn places(buffer: &[u8], parsed: &[httparse::Header<'_>]) -> Fields {
+/// The spans of parsed headers within the buffer that they were parsed from.
+pub(crate) fn find_spans(buffer: &[u8], parsed: &[httparse::Header<'_>]) -> Spans {
     let start = buffer.as_ptr() as usize;
     let range = |slice: &[u8]| {
         let from = (slice.as_ptr() as usize - start) as u32;
@@ -116,11 +118,11 @@
     };
     parsed
         .iter()
-        .map(|header| Field { name: range(header.name.as_bytes()), value: range(header.value) })
+        .map(|header| Span { name: range(header.name.as_bytes()), value: range(header.value) })
         .collect()
 }
 
-/// Whether a comma-separated list holds a token, in whatever case.
+/// Whether a comma-separated list contains a token; case is ignored.
 pub(crate) fn has_token(list: &[u8], token: &str) -> bool {
     list.split(|&byte| byte == b',')
         .any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
--- a/crates/mustardpin-http/src/lib.rs
+++ b/crates/mustardpin-http/src/lib.rs
@@ -1,10 +1,9 @@
 //! HTTP/1.1 messages: heads and bodies read from and written to byte buffers.
 //!
 //! The crate does no I/O. A connection reads bytes into a buffer, takes a [`head::Request`] or a
-//! [`head::Response`] off its front, and then the pieces of the [`body::Body`] that the head's
-//! [`framing::Framing`] announces. Lines are parsed by `httparse`; what is ambiguous is refused
-//! rather than guessed, since two readers that disagree on where a message ends let one request
-//! hide inside another.
+//! [`head::Response`] from its front, determines the body's [`framing::Framing`] from the headers,
+//! and decodes the pieces of the [`body::Body`]. Lines are parsed by `httparse`. Ambiguous messages
+//! are refused: two parsers that disagree on where a message ends allow request smuggling.
 
 pub mod body;
 pub mod error;
--- a/crates/mustardpin-http/src/write.rs
+++ b/crates/mustardpin-http/src/write.rs
@@ -1,6 +1,6 @@
-//! Writes heads and chunks.
+//! Serialization of heads and of the framing of chunked bodies.
 
-/// Writes the line of a request.
+/// Writes a request line.
 ///
 /// ```
 /// let mut out = Vec::new();
@@ -14,7 +14,7 @@
     out.extend_from_slice(b" HTTP/1.1\r\n");
 }
 
-/// Writes the line of a response.
+/// Writes a status line with the usual reason phrase.
 ///
 /// ```
 /// let mut out = Vec::new();
@@ -25,11 +25,11 @@
     out.extend_from_slice(b"HTTP/1.1 ");
     out.extend_from_slice(itoa::Buffer::new().format(status).as_bytes());
     out.push(b' ');
-    out.extend_from_slice(reason(status).as_bytes());
+    out.extend_from_slice(reason_phrase(status).as_bytes());
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes a field. Name and value must be valid.
+/// Writes a header. The caller ensures that name and value are valid.
 ///
 /// ```
 /// let mut out = Vec::new();
@@ -43,7 +43,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes a field with a number.
+/// Writes a header with a number as its value.
 ///
 /// ```
 /// let mut out = Vec::new();
@@ -54,7 +54,8 @@
     header(out, name, itoa::Buffer::new().format(value).as_bytes());
 }
 
-/// Writes the size of a chunk of this many bytes, before its bytes; after them comes a line end.
+/// Writes the line with a chunk's size in bytes. The caller writes the chunk's data and a CRLF
+/// after it.
 ///
 /// ```
 /// let mut out = Vec::new();
@@ -65,7 +66,7 @@
     out.extend_from_slice(format!("{size:x}\r\n").as_bytes());
 }
 
-/// Writes the end of a body in chunks, with the fields that follow it, as lines.
+/// Writes the end of a chunked body. `trailers` holds complete header lines.
 ///
 /// ```
 /// let mut out = Vec::new();
@@ -78,8 +79,8 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The usual text for a status code.
-fn reason(status: u16) -> &'static str {
+/// The usual reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/crates/mustardpin-http/tests/testsuite/body.rs
+++ b/crates/mustardpin-http/tests/testsuite/body.rs
@@ -1,4 +1,4 @@
-//! Bodies.
+//! Decoding of bodies.
 
 use std::fmt::Write as _;
 
@@ -10,8 +10,8 @@
 };
 use proptest::prelude::*;
 
-/// Reads a body that comes in parts. Returns its bytes and what is left after it.
-fn read<'a>(
+/// Decodes a body that is received in parts. Returns its bytes and the bytes after it.
+fn decode<'a>(
     framing: Framing,
     parts: impl Iterator<Item = &'a [u8]>,
 ) -> Result<(Vec<u8>, Vec<u8>), Error> {
@@ -44,26 +44,28 @@
     ];
     let mut table = String::new();
     for case in cases {
-        let read = read(Framing::Chunked, [case.as_bytes()].into_iter()).map(|(body, rest)| {
-            (String::from_utf8(body).unwrap(), String::from_utf8(rest).unwrap())
-        });
-        writeln!(table, "{case:?}\n  {read:?}").unwrap();
+        let decoded =
+            decode(Framing::Chunked, [case.as_bytes()].into_iter()).map(|(body, rest)| {
+                (String::from_utf8(body).unwrap(), String::from_utf8(rest).unwrap())
+            });
+        writeln!(table, "{case:?}\n  {decoded:?}").unwrap();
     }
     insta::assert_snapshot!(table);
 }
 
 #[test]
-fn a_body_that_ends_early_is_not_complete() {
-    let short = read(Framing::Length(5), [&b"hell"[..]].into_iter());
+fn a_truncated_body_is_an_error() {
+    let short = decode(Framing::Length(5), [&b"hell"[..]].into_iter());
     assert_eq!(short, Err(Error::Truncated));
-    let until_close = read(Framing::UntilClose, [&b"hell"[..]].into_iter());
+    let until_close = decode(Framing::UntilClose, [&b"hell"[..]].into_iter());
     assert_eq!(until_close, Ok((b"hell".to_vec(), Vec::new())));
 }
 
 proptest! {
-    /// However the bytes of a body arrive, it reads the same, and what follows it is left alone.
+    /// The decoded body does not depend on how its bytes are split between reads, and the bytes
+    /// after it stay in the buffer.
     #[test]
-    fn parts_read_as_the_whole(
+    fn a_body_decodes_the_same_however_it_is_split(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..6),
         size in 1_usize..20,
     ) {
@@ -74,7 +76,7 @@
             text.extend_from_slice(b"\r\n");
         }
         text.extend_from_slice(b"0\r\n\r\nGET");
-        let (body, rest) = read(Framing::Chunked, text.chunks(size)).unwrap();
+        let (body, rest) = decode(Framing::Chunked, text.chunks(size)).unwrap();
         prop_assert_eq!(body, chunks.concat());
         prop_assert_eq!(rest, b"GET".to_vec());
     }
--- a/crates/mustardpin-http/tests/testsuite/framing.rs
+++ b/crates/mustardpin-http/tests/testsuite/framing.rs
@@ -1,4 +1,4 @@
-//! Where bodies end.
+//! Framing of requests and responses.
 
 use std::fmt::Write as _;
 
--- a/crates/mustardpin-http/tests/testsuite/head.rs
+++ b/crates/mustardpin-http/tests/testsuite/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses.
+//! Parsing of request and response heads.
 
 use std::fmt::Write as _;
 
@@ -28,11 +28,11 @@
     ];
     let mut table = String::new();
     for case in cases {
-        let read = Request::take(&mut BytesMut::from(case), LIMIT);
-        let read = read.map(|head| {
+        let parsed = Request::take(&mut BytesMut::from(case), LIMIT);
+        let parsed = parsed.map(|head| {
             head.map(|head| (head.method().to_owned(), head.headers.len(), head.is_persistent()))
         });
-        writeln!(table, "{case:?}\n  {read:?}").unwrap();
+        writeln!(table, "{case:?}\n  {parsed:?}").unwrap();
     }
     insta::assert_snapshot!(table);
 }
@@ -49,9 +49,9 @@
     ];
     let mut table = String::new();
     for case in cases {
-        let read = Response::take(&mut BytesMut::from(case), LIMIT);
-        let read = read.map(|head| head.map(|head| (head.status, head.is_persistent())));
-        writeln!(table, "{case:?}\n  {read:?}").unwrap();
+        let parsed = Response::take(&mut BytesMut::from(case), LIMIT);
+        let parsed = parsed.map(|head| head.map(|head| (head.status, head.is_persistent())));
+        writeln!(table, "{case:?}\n  {parsed:?}").unwrap();
     }
     insta::assert_snapshot!(table);
 }
@@ -66,26 +66,26 @@
 }
 
 proptest! {
-    /// Bytes from anywhere never make the reader panic, and never take what is not there.
+    /// Arbitrary bytes never make the parser panic or read past the end of the buffer.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut buffer = BytesMut::from(&bytes[..]);
         let _ = Request::take(&mut buffer, LIMIT);
         let mut buffer = BytesMut::from(&bytes[..]);
         let _ = Response::take(&mut buffer, LIMIT);
     }
 
-    /// A head that comes in parts is read as one that comes at once.
+    /// A head received in two parts is parsed like one received at once.
     #[test]
-    fn parts_read_as_the_whole(cut in 0_usize..60) {
+    fn a_head_parses_the_same_however_it_is_split(cut in 0_usize..60) {
         let text = b"POST /bookings HTTP/1.1\r\nHost: a\r\nX: 1\r\n\r\nbody";
         let whole = Request::take(&mut BytesMut::from(&text[..]), LIMIT).unwrap();
         let cut = cut.min(text.len());
         let mut buffer = BytesMut::from(&text[..cut]);
         let first = Request::take(&mut buffer, LIMIT).unwrap();
         buffer.extend_from_slice(&text[cut..]);
-        let read = first.or_else(|| Request::take(&mut buffer, LIMIT).unwrap());
-        prop_assert_eq!(read, whole);
+        let parsed = first.or_else(|| Request::take(&mut buffer, LIMIT).unwrap());
+        prop_assert_eq!(parsed, whole);
         prop_assert_eq!(&buffer[..], b"body");
     }
 }
--- a/crates/mustardpin-http/tests/testsuite/main.rs
+++ b/crates/mustardpin-http/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of HTTP/1.1 messages.
+//! Tests of HTTP/1.1 message parsing.
 
 mod body;
 mod framing;
