--- a/crates/mustardpin-node/src/traffic/caller/writing.rs
+++ b/crates/mustardpin-node/src/traffic/caller/writing.rs
@@ -48,12 +48,12 @@
         write::status_line(&mut self.out, status);
         self.out.extend_from_slice(&header_lines);
         if closes {
-            write::field(&mut self.out, "connection", b"close");
+            write::header(&mut self.out, "connection", b"close");
         }
         match body {
             Body::Empty => self.out.extend_from_slice(b"\r\n"),
             Body::Complete(bytes) => {
-                write::number(&mut self.out, "content-length", bytes.len() as u64);
+                write::numeric_header(&mut self.out, "content-length", bytes.len() as u64);
                 self.out.extend_from_slice(b"\r\n");
                 if bytes.len() <= MAX_JOINED_BODY_BYTES {
                     self.out.extend_from_slice(&bytes);
@@ -64,9 +64,9 @@
             Body::Stream(pieces) => {
                 let is_chunked = pieces.length.is_none() && accepts_chunked;
                 if let Some(length) = pieces.length {
-                    write::number(&mut self.out, "content-length", length);
+                    write::numeric_header(&mut self.out, "content-length", length);
                 } else if is_chunked {
-                    write::field(&mut self.out, "transfer-encoding", b"chunked");
+                    write::header(&mut self.out, "transfer-encoding", b"chunked");
                 }
                 self.out.extend_from_slice(b"\r\n");
                 self.streamed = Some(StreamedBody { pieces, is_chunked });
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -154,11 +154,11 @@
     let delivery = DeliveryHeaders { instance: &endpoint.instance, token: run.token, left };
     exchanges.dialect.write_delivery_headers(delivery, &mut out);
     match body {
-        BodyFraming::Chunked => write::field(&mut out, "transfer-encoding", b"chunked"),
-        BodyFraming::Length(length) => write::number(&mut out, "content-length", length),
+        BodyFraming::Chunked => write::header(&mut out, "transfer-encoding", b"chunked"),
+        BodyFraming::Length(length) => write::numeric_header(&mut out, "content-length", length),
         BodyFraming::Complete([]) if matches!(&*request.method, "GET" | "HEAD" | "DELETE") => {}
         BodyFraming::Complete(bytes) => {
-            write::number(&mut out, "content-length", bytes.len() as u64)
+            write::numeric_header(&mut out, "content-length", bytes.len() as u64)
         }
     }
     out.extend_from_slice(b"\r\n");
@@ -316,7 +316,7 @@
         if framing == Framing::Empty
             && let Some(length) = head.headers.get("content-length")
         {
-            write::field(&mut header_lines, "content-length", length);
+            write::header(&mut header_lines, "content-length", length);
         }
         let head = Head { status: head.status, header_lines: header_lines.into(), load };
         let outcome = self.receive_body(head, framing).await?;
