--- a/crates/mustardpin-node/src/traffic/intake.rs
+++ b/crates/mustardpin-node/src/traffic/intake.rs
@@ -81,7 +81,7 @@
     // A request whose head cannot be read goes nowhere.
     let Ok(parsed) = board.dialect.read_request(port, head) else { return Bytes::new() };
     let mut lines = Vec::new();
-    scrub::copy(
+    scrub::copy_headers(
         trailers,
         |name, value| board.dialect.forwards_request_header(&parsed, name, value),
         &mut lines,
@@ -94,7 +94,7 @@
     let mut fields = Vec::with_capacity(256);
     let passes =
         |name: &str, value: &[u8]| board.dialect.forwards_request_header(parsed, name, value);
-    scrub::copy(&head.headers, passes, &mut fields);
+    scrub::copy_headers(&head.headers, passes, &mut fields);
     let begin = match &body {
         Body::Whole(bytes) => bytes,
         Body::Stream(rest) => rest.first(),
--- a/crates/mustardpin-node/src/traffic/link.rs
+++ b/crates/mustardpin-node/src/traffic/link.rs
@@ -15,7 +15,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-use mustardpin_wire::frame::{Head, Hello, LoadReport, VERSION};
+use mustardpin_wire::frame::{Head, Hello, LoadReport, PROTOCOL_VERSION};
 use mustardpin_world::{
     id::{KeyDigest, NodeId, Revision},
     message::Message,
@@ -42,7 +42,7 @@
     /// The first frame to whoever is at the other end; `to` is the node that is wanted.
     fn hello(&self, to: Option<NodeId>, revision: Revision) -> Hello {
         Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             credential: self.fleet.0,
             announcement: self.announcement.clone().into(),
             to: to.map_or(0, |node| node.0),
--- a/crates/mustardpin-node/src/traffic/link/incoming.rs
+++ b/crates/mustardpin-node/src/traffic/link/incoming.rs
@@ -60,7 +60,7 @@
 async fn greet(board: &Board, wire: &mut Wire) -> Result<Announcement, Error> {
     let hello = wire.greeted().await?;
     let credentials = &board.links.credentials;
-    if hello.credential() != credentials.fleet || hello.version != frame::VERSION {
+    if hello.credential() != credentials.fleet || hello.version != frame::PROTOCOL_VERSION {
         return Err(Error::Credential);
     }
     let own = credentials.announcement.node;
@@ -143,7 +143,7 @@
     payload: Bytes,
 ) -> Result<(), Error> {
     let stream = head.stream;
-    let (fields, whole) = frame::split(payload, head.fields)?;
+    let (fields, whole) = frame::split_payload(payload, head.fields)?;
     let body = match head.body {
         frame::Body::Whole | frame::Body::Empty => Body::Whole(whole),
         frame::Body::Chunks { length } => {
--- a/crates/mustardpin-node/src/traffic/link/outgoing.rs
+++ b/crates/mustardpin-node/src/traffic/link/outgoing.rs
@@ -250,7 +250,7 @@
     let own = Revision(board.load().revision);
     wire.greet(credentials.hello(Some(link.announcement.node), own)).await?;
     let hello = wire.greeted().await?;
-    if hello.credential() != credentials.fleet || hello.version != frame::VERSION {
+    if hello.credential() != credentials.fleet || hello.version != frame::PROTOCOL_VERSION {
         return Err(Error::Credential);
     }
     let revision = Revision(hello.revision);
@@ -391,7 +391,7 @@
     head: frame::Response,
     payload: Bytes,
 ) -> Result<(), Error> {
-    let (fields, whole) = frame::split(payload, head.fields)?;
+    let (fields, whole) = frame::split_payload(payload, head.fields)?;
     let status = head.status;
     let mut streams = link.streams();
     let Some(stream) = streams.get_mut(&head.stream) else { return Ok(()) };
--- a/crates/mustardpin-node/src/traffic/link/wire.rs
+++ b/crates/mustardpin-node/src/traffic/link/wire.rs
@@ -82,7 +82,7 @@
     /// Writes the first frame. Its bytes do not count among those of the sender.
     pub(super) async fn greet(&mut self, hello: Hello) -> Result<(), Error> {
         let mut out = Vec::new();
-        frame::write(&mut out, &Head::Hello(hello), &[])?;
+        frame::encode(&mut out, &Head::Hello(hello), &[])?;
         self.stream.write_all(&out).await?;
         Ok(())
     }
@@ -100,7 +100,7 @@
 
     /// The next frame that has been read in full.
     pub(super) fn take(&mut self) -> Result<Option<(Head, bytes::Bytes)>, Error> {
-        Ok(frame::take(&mut self.buffer)?)
+        Ok(frame::decode(&mut self.buffer)?)
     }
 
     /// Reads more.
--- a/crates/mustardpin-node/src/traffic/sender.rs
+++ b/crates/mustardpin-node/src/traffic/sender.rs
@@ -49,7 +49,7 @@
             return None;
         }
         let (start, before) = (queue.total, queue.bytes.len());
-        frame::write(&mut queue.bytes, head, payload).ok()?;
+        frame::encode(&mut queue.bytes, head, payload).ok()?;
         queue.total += (queue.bytes.len() - before) as u64;
         drop(queue);
         if before == 0 {
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -291,7 +291,11 @@
         };
         let mut fields = Vec::with_capacity(256);
         let dialect = &self.board.dialect;
-        scrub::copy(&head.headers, |name, _| dialect.forwards_response_header(name), &mut fields);
+        scrub::copy_headers(
+            &head.headers,
+            |name, _| dialect.forwards_response_header(name),
+            &mut fields,
+        );
         if framing == Framing::Empty
             && let Some(length) = head.headers.get("content-length")
         {
@@ -378,7 +382,7 @@
                 Decoded::Data(bytes) => return Ok(Piece::Data(bytes)),
                 Decoded::Trailers(trailers) => {
                     let mut lines = Vec::new();
-                    scrub::copy(
+                    scrub::copy_headers(
                         &trailers,
                         |name, _| dialect.forwards_response_header(name),
                         &mut lines,
--- a/crates/mustardpin-node/tests/testsuite/input.rs
+++ b/crates/mustardpin-node/tests/testsuite/input.rs
@@ -9,7 +9,7 @@
 };
 
 use mustardpin_node::{Launch, launch::Limits};
-use mustardpin_wire::frame::{self, Head, Hello, VERSION};
+use mustardpin_wire::frame::{self, Head, Hello, PROTOCOL_VERSION};
 use mustardpin_world::id::{KeyDigest, NodeId};
 
 use crate::fake::{End, Fleet, KEY, Script, Step, call, exchange, get, read_all, text, wait_until};
@@ -181,14 +181,14 @@
             ..fleet.nodes[0].announcement().clone()
         };
         let hello = Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             credential: KeyDigest::of(credential).0,
             announcement: announcement.into(),
             to: to.0,
             revision: 1,
         };
         let mut frame = Vec::new();
-        frame::write(&mut frame, &Head::Hello(hello), &[]).expect("the frame is small");
+        frame::encode(&mut frame, &Head::Hello(hello), &[]).expect("the frame is small");
         frame
     };
     let request = "GET /slots HTTP/1.1\r\nhost: fleet\r\nmustardpin-route: slots\r\n\r\n";
--- a/crates/mustardpin-virtual/src/size.rs
+++ b/crates/mustardpin-virtual/src/size.rs
@@ -10,7 +10,7 @@
 /// What a message takes on the network, in bytes.
 pub(crate) fn of(message: &Message) -> u64 {
     let mut frame = Vec::new();
-    let written = frame::write(&mut frame, &Head::Message(message.clone().into()), &[]);
+    let written = frame::encode(&mut frame, &Head::Message(message.clone().into()), &[]);
     // A message that no frame holds is not sent at all.
     if written.is_ok() { (OVERHEAD + frame.len()) as u64 } else { 0 }
 }
--- a/crates/mustardpin-wire/src/frame.rs
+++ b/crates/mustardpin-wire/src/frame.rs
@@ -22,7 +22,7 @@
 /// The length of a frame's length, in bytes.
 const PREFIX_BYTES: usize = 4;
 /// The version of the protocol between nodes.
-pub const VERSION: u16 = 2;
+pub const PROTOCOL_VERSION: u16 = 2;
 
 /// Why a frame cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 }
 
 /// Names a request on a connection. Chosen by the node that passes it on.
-pub type Stream = u32;
+pub type StreamId = u32;
 
 /// How a body follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -116,7 +116,7 @@
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::request::Forwarded")]
 pub struct Request {
-    pub stream: Stream,
+    pub stream: StreamId,
     pub id: CompactString,
     pub method: CompactString,
     pub target: CompactString,
@@ -211,7 +211,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Response {
     /// The request.
-    pub stream: Stream,
+    pub stream: StreamId,
     /// The HTTP status code.
     pub status: u16,
     /// The retries that are left of those lent with the request.
@@ -229,7 +229,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Refused {
     /// The request.
-    pub stream: Stream,
+    pub stream: StreamId,
     /// The name of the reason.
     pub reason: CompactString,
     /// Whether the request ran: 0 it did not, 1 it may have, 2 it did.
@@ -244,7 +244,7 @@
 
 impl Refused {
     /// A refusal of the request on this stream.
-    pub fn new(stream: Stream, refusal: &Refusal, retries: u32, load: LoadReport) -> Refused {
+    pub fn new(stream: StreamId, refusal: &Refusal, retries: u32, load: LoadReport) -> Refused {
         let outcome = match refusal.outcome {
             Outcome::NotRun => 0,
             Outcome::Unknown => 1,
@@ -288,23 +288,23 @@
     /// A refusal in place of an answer.
     Refused(Refused),
     /// The sender does not want the answer any more.
-    Cancel(Stream),
+    Cancel(StreamId),
     /// A part of a body. The payload of the last one are the fields that follow the body, as lines.
     Chunk {
         /// The request.
-        stream: Stream,
+        stream: StreamId,
         /// Whether the body is complete.
         last: bool,
     },
     /// The receiver has taken a chunk, and has room for one more.
     Credit {
         /// The request.
-        stream: Stream,
+        stream: StreamId,
     },
     /// The rest of a body will not come.
     Broken {
         /// The request.
-        stream: Stream,
+        stream: StreamId,
     },
     /// What the node says of its target, without being asked.
     Load(LoadReport),
@@ -327,13 +327,13 @@
 /// use mustardpin_wire::frame::{self, Head};
 ///
 /// let mut out = Vec::new();
-/// frame::write(&mut out, &Head::Chunk { stream: 7, last: true }, &[b"ab", b"c"])?;
+/// frame::encode(&mut out, &Head::Chunk { stream: 7, last: true }, &[b"ab", b"c"])?;
 /// let mut buffer = BytesMut::from(&out[..]);
-/// let (head, payload) = frame::take(&mut buffer)?.unwrap();
+/// let (head, payload) = frame::decode(&mut buffer)?.unwrap();
 /// assert_eq!((head, &payload[..]), (Head::Chunk { stream: 7, last: true }, &b"abc"[..]));
 /// # Ok::<(), mustardpin_wire::frame::Error>(())
 /// ```
-pub fn write(out: &mut Vec<u8>, head: &Head, payload: &[&[u8]]) -> Result<(), Error> {
+pub fn encode(out: &mut Vec<u8>, head: &Head, payload: &[&[u8]]) -> Result<(), Error> {
     let start = out.len();
     out.extend_from_slice(&[0; PREFIX_BYTES]);
     *out = postcard::to_extend(head, std::mem::take(out))?;
@@ -355,7 +355,7 @@
 /// # Errors
 ///
 /// If the frame is too large, or its head cannot be read.
-pub fn take(buffer: &mut BytesMut) -> Result<Option<(Head, Bytes)>, Error> {
+pub fn decode(buffer: &mut BytesMut) -> Result<Option<(Head, Bytes)>, Error> {
     let Some(prefix) = buffer.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*prefix) as usize;
     if length > MAX_FRAME_BYTES {
@@ -382,11 +382,11 @@
 /// use bytes::Bytes;
 /// use mustardpin_wire::frame;
 ///
-/// let (fields, body) = frame::split(Bytes::from_static(b"a: b\r\nbody"), 6)?;
+/// let (fields, body) = frame::split_payload(Bytes::from_static(b"a: b\r\nbody"), 6)?;
 /// assert_eq!((&fields[..], &body[..]), (&b"a: b\r\n"[..], &b"body"[..]));
 /// # Ok::<(), mustardpin_wire::frame::Error>(())
 /// ```
-pub fn split(mut payload: Bytes, fields: u32) -> Result<(Bytes, Bytes), Error> {
+pub fn split_payload(mut payload: Bytes, fields: u32) -> Result<(Bytes, Bytes), Error> {
     let fields = fields as usize;
     if payload.len() < fields {
         return Err(Error::Payload);
--- a/crates/mustardpin-wire/src/scrub.rs
+++ b/crates/mustardpin-wire/src/scrub.rs
@@ -64,10 +64,10 @@
 /// let fields = [("Connection", &b"x-hop"[..]), ("X-Hop", b"1"), ("Accept", b"*/*")];
 /// let headers: Headers = fields.into_iter().collect();
 /// let mut out = Vec::new();
-/// scrub::copy(&headers, |_, _| true, &mut out);
+/// scrub::copy_headers(&headers, |_, _| true, &mut out);
 /// assert_eq!(out, b"Accept: */*\r\n");
 /// ```
-pub fn copy(headers: &Headers, passes: impl Fn(&str, &[u8]) -> bool, out: &mut Vec<u8>) {
+pub fn copy_headers(headers: &Headers, passes: impl Fn(&str, &[u8]) -> bool, out: &mut Vec<u8>) {
     let names_others = headers.get("connection").is_some();
     for (name, value) in headers.iter() {
         let is_named = names_others && headers.has_token("connection", name);
--- a/crates/mustardpin-wire/tests/testsuite/decode.rs
+++ b/crates/mustardpin-wire/tests/testsuite/decode.rs
@@ -98,7 +98,7 @@
         prop_assert_eq!(&request.origin, &Origin::Caller { key: Some(digest) });
         let mut passed = Vec::new();
         let passes = |name: &str, value: &[u8]| dialect.forwards_request_header(&request, name, value);
-        scrub::copy(&head.headers, passes, &mut passed);
+        scrub::copy_headers(&head.headers, passes, &mut passed);
         let text = String::from_utf8_lossy(&passed).to_lowercase();
         prop_assert!(!text.contains(&secret.to_lowercase()), "{}", text);
         prop_assert!(!text.contains("authorization:") && !text.contains("mustardpin-"));
--- a/crates/mustardpin-wire/tests/testsuite/frame.rs
+++ b/crates/mustardpin-wire/tests/testsuite/frame.rs
@@ -1,7 +1,9 @@
 //! Frames between nodes: what was written is read, and no bytes are read otherwise than as frames.
 
 use bytes::BytesMut;
-use mustardpin_wire::frame::{self, Body, Head, Hello, LoadReport, Nesting, Request, VERSION};
+use mustardpin_wire::frame::{
+    self, Body, Head, Hello, LoadReport, Nesting, PROTOCOL_VERSION, Request,
+};
 use mustardpin_wire::store::Announcement;
 use mustardpin_world::{
     Millis,
@@ -36,11 +38,11 @@
     fn frames_come_back_the_same(heads in vec((head(), vec(any::<u8>(), 0..40)), 1..6)) {
         let mut out = Vec::new();
         for (head, payload) in &heads {
-            frame::write(&mut out, head, &[payload]).expect("the frame is small");
+            frame::encode(&mut out, head, &[payload]).expect("the frame is small");
         }
         let mut buffer = BytesMut::from(&out[..]);
         for (head, payload) in &heads {
-            let (read, rest) = frame::take(&mut buffer).expect("it can be read").expect("it is whole");
+            let (read, rest) = frame::decode(&mut buffer).expect("it can be read").expect("it is whole");
             prop_assert_eq!((&read, &rest[..]), (head, &payload[..]));
         }
         prop_assert!(buffer.is_empty());
@@ -49,17 +51,17 @@
     #[test]
     fn a_frame_that_is_not_there_in_full_is_waited_for(head in head(), cut in 0_usize..100) {
         let mut out = Vec::new();
-        frame::write(&mut out, &head, &[b"payload"]).expect("the frame is small");
+        frame::encode(&mut out, &head, &[b"payload"]).expect("the frame is small");
         let cut = cut.min(out.len() - 1);
         let mut buffer = BytesMut::from(&out[..cut]);
-        prop_assert_eq!(frame::take(&mut buffer), Ok(None));
+        prop_assert_eq!(frame::decode(&mut buffer), Ok(None));
         prop_assert_eq!(buffer.len(), cut);
     }
 
     #[test]
     fn any_bytes_are_frames_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
         let mut buffer = BytesMut::from(&bytes[..]);
-        while let Ok(Some(_)) = frame::take(&mut buffer) {}
+        while let Ok(Some(_)) = frame::decode(&mut buffer) {}
     }
 
     #[test]
@@ -108,8 +110,8 @@
             body: Body::Empty,
         });
         let mut out = Vec::new();
-        frame::write(&mut out, &head, &[]).expect("the frame is small");
-        let read = frame::take(&mut BytesMut::from(&out[..]));
+        frame::encode(&mut out, &head, &[]).expect("the frame is small");
+        let read = frame::decode(&mut BytesMut::from(&out[..]));
         let Ok(Some((Head::Request(read), _))) = read else { panic!("{read:?}") };
         prop_assert_eq!(read.forwarded(NodeId(7)), forwarded);
     }
@@ -124,8 +126,8 @@
         let refusal = Refusal { reason, outcome, retry_after: wait.map(Millis) };
         let refused = frame::Refused::new(3, &refusal, 2, load);
         let mut out = Vec::new();
-        frame::write(&mut out, &Head::Refused(refused.clone()), &[]).expect("the frame is small");
-        let (read, _) = frame::take(&mut BytesMut::from(&out[..])).expect("read").expect("whole");
+        frame::encode(&mut out, &Head::Refused(refused.clone()), &[]).expect("the frame is small");
+        let (read, _) = frame::decode(&mut BytesMut::from(&out[..])).expect("read").expect("whole");
         prop_assert_eq!(&read, &Head::Refused(refused.clone()));
         prop_assert_eq!(refused.refusal(), refusal);
     }
@@ -135,10 +137,10 @@
 fn a_frame_that_is_too_large_is_neither_written_nor_read() {
     let payload = vec![0; frame::MAX_FRAME_BYTES + 1];
     let mut out = b"before".to_vec();
-    assert!(frame::write(&mut out, &Head::Ping, &[&payload]).is_err());
+    assert!(frame::encode(&mut out, &Head::Ping, &[&payload]).is_err());
     assert_eq!(out, b"before");
     let mut buffer = BytesMut::from(&u32::MAX.to_be_bytes()[..]);
-    let error = frame::take(&mut buffer).expect_err("it is too large");
+    let error = frame::decode(&mut buffer).expect_err("it is too large");
     insta::assert_snapshot!(error, @"the frame is too large: 4294967295 bytes");
 }
 
@@ -151,9 +153,10 @@
         service: "ledger".into(),
         address: "127.0.0.1:7101".into(),
     };
-    let hello = Hello { version: VERSION, credential: [9; 32], announcement, to: 8, revision: 5 };
+    let hello =
+        Hello { version: PROTOCOL_VERSION, credential: [9; 32], announcement, to: 8, revision: 5 };
     let mut out = Vec::new();
-    frame::write(&mut out, &Head::Hello(hello.clone()), &[]).expect("the frame is small");
-    let read = frame::take(&mut BytesMut::from(&out[..])).expect("it can be read");
+    frame::encode(&mut out, &Head::Hello(hello.clone()), &[]).expect("the frame is small");
+    let read = frame::decode(&mut BytesMut::from(&out[..])).expect("it can be read");
     assert_eq!(read.map(|(head, _)| head), Some(Head::Hello(hello)));
 }
