--- a/crates/mustardpin-wire/src/config.rs
+++ b/crates/mustardpin-wire/src/config.rs
@@ -1,4 +1,4 @@
-//! Rows of the configuration, as they stand in the store and in messages to peers.
+//! Rows of the configuration, as encoded in the store and in messages to peers.
 
 mod digest;
 
@@ -9,22 +9,22 @@
 
 pub use self::digest::{decode_digest, encode_digest};
 
-/// Why a row could not be read.
+/// Why a row can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Error {
     /// The digest of a key is not 64 hexadecimal digits.
     #[display("the digest is not 64 hexadecimal digits")]
     Digest,
-    /// There is no such importance.
+    /// The text is neither a named importance nor a number up to 255.
     #[display("`{_0}` is no importance; write low, normal, high, critical or a number up to 255")]
     Importance(#[error(not(source))] CompactString),
-    /// There is no such kind of row.
+    /// No kind of row has this name.
     #[display("there is no kind of row named {_0:?}")]
     Kind(#[error(not(source))] CompactString),
 }
 
-/// How much it matters that a request is served: a name for the levels that operators use, a number
-/// for all others. In binary encodings it is always the number.
+/// The importance of requests. In text, the four levels that operators use are written as names and
+/// all others as numbers; binary encodings always hold the number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Importance(pub config::Importance);
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Which kind of row.
+/// The kind of a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -111,7 +111,7 @@
     }
 }
 
-/// Names a row among all rows.
+/// Identifies a row among all rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::config::Path")]
@@ -132,7 +132,7 @@
     }
 }
 
-/// What cut-off nodes do with keyed requests.
+/// What a node that is cut off from the store does with keyed requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -142,7 +142,7 @@
     ServeMs(u64),
 }
 
-/// What an exception changes.
+/// The change that an exception makes to the defaults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -153,7 +153,7 @@
     ServeCutOff { team: CompactString, grace_ms: u64 },
 }
 
-/// A service that a route leads to, and its part of the route's requests.
+/// A service that a route leads to, and the weight of its part of the route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::config::Part")]
@@ -162,7 +162,7 @@
     pub weight: u32,
 }
 
-/// What callers may send.
+/// Limits on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::config::CallerLimits")]
--- a/crates/mustardpin-wire/src/config/digest.rs
+++ b/crates/mustardpin-wire/src/config/digest.rs
@@ -1,11 +1,11 @@
-//! Digests of keys as text.
+//! Digests of tenant keys as text.
 
 use compact_str::{CompactString, format_compact};
 use mustardpin_world::id::KeyDigest;
 
 use crate::config::Error;
 
-/// The digest of a key as hexadecimal digits.
+/// Encodes the digest of a key as 64 hexadecimal digits.
 ///
 /// ```
 /// use mustardpin_wire::config::{decode_digest, encode_digest};
@@ -19,7 +19,7 @@
     digest.0.iter().fold(CompactString::default(), |text, byte| format_compact!("{text}{byte:02x}"))
 }
 
-/// The digest of a key from 64 hexadecimal digits.
+/// Decodes the digest of a key from 64 hexadecimal digits.
 ///
 /// # Errors
 ///
--- a/crates/mustardpin-wire/src/dialect.rs
+++ b/crates/mustardpin-wire/src/dialect.rs
@@ -1,7 +1,7 @@
-//! What callers and targets say in HTTP fields, as the rest of the node knows it.
+//! The interface to the HTTP headers that callers and targets use.
 //!
-//! A dialect names fields and reads and writes their values. It decides nothing: what a request may
-//! do, and what a refusal means, is the world's.
+//! A dialect knows the names of the headers, and reads and writes their values. It makes no
+//! decisions: the world decides what a request may do and when it is refused.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -15,28 +15,28 @@
 
 use crate::scrub::Secret;
 
-/// Where a request came in.
+/// The listener that a request arrived at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Port {
-    /// The port for callers.
+    /// The listener for callers.
     Callers,
-    /// The port for the node's own target. Callers may use it too.
+    /// The listener for the node's local target. Callers may use it too.
     Local,
 }
 
-/// Why a request cannot be read.
+/// Why the head of a request is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error)]
 #[display("{problem}")]
 pub struct RequestError {
-    /// The reason under which it is refused.
+    /// The reason of the refusal.
     pub reason: Reason,
-    /// What is wrong with it.
+    /// What is wrong with the request.
     pub problem: CompactString,
 }
 
 impl RequestError {
-    /// A malformed request.
+    /// The error for a malformed request.
     ///
     /// ```
     /// use mustardpin_wire::dialect::RequestError;
@@ -47,101 +47,100 @@
     }
 }
 
-/// What a request's head says.
+/// The values that a dialect reads from a request's head.
 #[derive(Debug, Clone)]
 pub struct ParsedRequest {
-    /// Who sent it.
+    /// The sender of the request.
     pub origin: Origin,
-    /// Its id, if its sender chose one.
+    /// The request's id, if its sender chose one.
     pub id: Option<CompactString>,
-    /// The host it is for, in lower case, without a port.
+    /// The host that the request is for, in lower case, without a port; empty if it has none.
     pub host: CompactString,
-    /// How long its sender waits.
+    /// The time that the sender waits for the complete response, if it sent one.
     pub timeout: Option<Millis>,
-    /// The key it came with, which must not go on.
+    /// The secret of the caller's key, which must not be forwarded.
     pub secret: Secret,
 }
 
-/// What the node where a request began says of it to the target.
+/// The values that the node which accepted a request from its sender adds for the target.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryHeaders<'a> {
     /// The service of the node's target.
     pub caller_service: &'a str,
-    /// The team that it runs for.
+    /// The team that the request runs for.
     pub team: Option<&'a str>,
 }
 
-/// What the node next to a target says with a request.
+/// The values that the target's own node adds when it sends a request to the target.
 #[derive(Debug, Clone, Copy)]
 pub struct DeliveryHeaders<'a> {
-    /// The target that is meant, if it has an id.
+    /// The instance id of the expected target; empty if it has none.
     pub instance: &'a str,
-    /// Links the target's own calls to the request.
+    /// The token that links the target's own calls to the request.
     pub token: CallToken,
-    /// The time that is left to the request.
+    /// The time until the request's deadline.
     pub left: Millis,
 }
 
-/// What a target's answer means.
+/// What a target's response means.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It is the target's answer to the request.
+    /// The target's response to the request.
     Valid {
-        /// What it says of the target's load.
+        /// The target's load, if the response reports it.
         load: Option<TargetLoad>,
     },
     /// The target did not run the request.
     Declined,
-    /// Another target than the one that was meant is there, and did not run the request.
+    /// Another target than the expected one is at the address, and did not run the request.
     Misdirected,
-    /// It cannot be passed on as an answer to this request.
+    /// The response can't be forwarded as a response to this request, for the reason given.
     Unusable(&'static str),
 }
 
-/// What a target said of itself, and what it is answered.
+/// A target's report of its own state, and the response to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// What it said; `None` if it says nothing that can be used.
+    /// The event for the world; `None` if the report is invalid.
     pub event: Option<Event>,
-    /// The status of the answer.
+    /// The HTTP status code of the response.
     pub status: u16,
-    /// The body of the answer.
+    /// The body of the response.
     pub body: Bytes,
 }
 
-/// Reads and writes what callers and targets say in HTTP fields.
+/// Reads and writes the HTTP headers that callers and targets use.
 pub trait Dialect: Send + Sync {
     /// Reads a request's head.
     ///
     /// # Errors
     ///
-    /// If it cannot be read.
+    /// If the head is malformed, or the sender may not use one of its headers.
     fn read_request(&self, port: Port, head: &Request) -> Result<ParsedRequest, RequestError>;
 
-    /// Whether a field of a caller's request goes on to the target. Fields that concern one
-    /// connection, and the length of the body, are not asked for.
+    /// Whether a header of a caller's request is forwarded to the target. Hop-by-hop headers and the
+    /// length of the body are never forwarded, and not passed to this function.
     fn forwards_request_header(&self, request: &ParsedRequest, name: &str, value: &[u8]) -> bool;
 
-    /// Writes the fields that the node where the request began adds.
-    fn write_entry_headers(&self, entry: EntryHeaders<'_>, fields: &mut Vec<u8>);
+    /// Writes the headers that the node which accepted the request from its sender adds.
+    fn write_entry_headers(&self, entry: EntryHeaders<'_>, out: &mut Vec<u8>);
 
-    /// Writes the fields that the node next to the target adds.
-    fn write_delivery_headers(&self, delivery: DeliveryHeaders<'_>, fields: &mut Vec<u8>);
+    /// Writes the headers that the target's own node adds.
+    fn write_delivery_headers(&self, delivery: DeliveryHeaders<'_>, out: &mut Vec<u8>);
 
-    /// Reads the head of a target's answer to the request with this id.
+    /// Reads the head of a target's response to the request with this id.
     fn read_response(&self, id: &str, head: &Response) -> ResponseKind;
 
-    /// Whether a field of a target's answer goes on to the caller.
+    /// Whether a header of a target's response is forwarded to the caller.
     fn forwards_response_header(&self, name: &str) -> bool;
 
-    /// Writes the fields of a refusal and returns its body. `left` is the time that the caller
-    /// still waits, if it has said so.
-    fn write_refusal(&self, refusal: &Refusal, left: Option<Millis>, fields: &mut Vec<u8>)
-    -> Bytes;
+    /// Writes the headers of a refusal and returns its body. `left` is the remaining time that the
+    /// caller waits, if it sent a timeout.
+    fn write_refusal(&self, refusal: &Refusal, left: Option<Millis>, out: &mut Vec<u8>) -> Bytes;
 
-    /// Reads a report of the own target; `None` if the request is not one.
+    /// Reads a report of the local target; `None` if the request is not a report.
     fn read_report(&self, head: &Request, body: &[u8]) -> Option<Report>;
 
-    /// Whether a request asks if the node is ready.
+    /// Whether a request is a readiness check of the node.
     fn is_readiness_check(&self, head: &Request) -> bool;
 }
--- a/crates/mustardpin-wire/src/fingerprint.rs
+++ b/crates/mustardpin-wire/src/fingerprint.rs
@@ -1,10 +1,10 @@
-//! The digest by which a request that is sent again is recognised.
+//! The digest that identifies client retries of a request.
 
 use mustardpin_world::request::Fingerprint;
 use rapidhash::v3::rapidhash_v3;
 
-/// The digest of a request's method, target and body, and of the service that sent it. The same on
-/// every node.
+/// The digest of a request's method, target and body, and of the service that sent it. It is the
+/// same on every node.
 ///
 /// ```
 /// use mustardpin_wire::fingerprint;
--- a/crates/mustardpin-wire/src/frame.rs
+++ b/crates/mustardpin-wire/src/frame.rs
@@ -1,7 +1,8 @@
 //! Frames on the connections between nodes.
 //!
-//! A frame is its length in four bytes, a head in postcard's encoding, and a payload whose length
-//! follows from the first two. The payload holds what is passed on as it is: fields and bodies.
+//! A frame consists of its length in four bytes, a head in postcard's encoding, and a payload that
+//! takes up the rest of the length. The payload holds what is forwarded unchanged: headers and
+//! bodies.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 use compact_str::CompactString;
@@ -17,71 +18,71 @@
 
 use crate::{message, store::Announcement};
 
-/// The largest frame, in bytes.
+/// The maximum length of a frame without its prefix, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// The length of a frame's length, in bytes.
+/// The size of the prefix that holds a frame's length, in bytes.
 const PREFIX_BYTES: usize = 4;
 /// The version of the protocol between nodes.
 pub const PROTOCOL_VERSION: u16 = 2;
 
-/// Why a frame cannot be read.
+/// Why a frame can't be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error, From)]
 pub enum Error {
-    /// The frame is larger than any frame may be.
+    /// The frame is larger than [`MAX_FRAME_BYTES`].
     #[display("the frame is too large: {_0} bytes")]
     #[from(skip)]
     TooLarge(#[error(not(source))] usize),
-    /// The head cannot be read.
+    /// The head can't be encoded or decoded.
     #[display("the frame's head cannot be read")]
     Head(postcard::Error),
-    /// The payload is shorter than the head says.
+    /// The payload is shorter than the length of the headers in the frame's head.
     #[display("the frame's payload is too short")]
     Payload,
 }
 
-/// Names a request on a connection. Chosen by the node that passes it on.
+/// Identifies a request on a connection. Chosen by the node that forwards the request.
 pub type StreamId = u32;
 
-/// How a body follows.
+/// How the body of a request or response is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Body {
-    /// It is the rest of the payload.
+    /// The rest of the payload is the complete body.
     Whole,
-    /// It comes in [`Head::Chunk`] frames.
+    /// The body follows in [`Head::Chunk`] frames.
     Chunks {
-        /// How many bytes it has, if that was said.
+        /// The length of the body in bytes, if its sender declared one.
         length: Option<u64>,
     },
-    /// There is none, and the message may not say how long it is.
+    /// The message has no body, and must not be given a `Content-Length` header.
     Empty,
 }
 
-/// The first frame on a connection, from both sides.
+/// The first frame that each side of a connection sends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Hello {
-    /// The version of the protocol.
+    /// The sender's version of the protocol.
     pub version: u16,
     /// The digest of the fleet's credential.
     pub credential: [u8; 32],
-    /// Who the sender is.
+    /// The sender's announcement of itself.
     pub announcement: Announcement,
-    /// The node that is wanted; zero for whichever is there.
+    /// The id of the node that the sender wants to reach; zero if any node is accepted.
     pub to: u64,
     /// The revision of the sender's configuration.
     pub revision: u64,
 }
 
 impl Hello {
-    /// The digest of the fleet's credential, which is compared in constant time.
+    /// The digest of the fleet's credential, as a type that compares in constant time.
     pub fn credential(&self) -> KeyDigest {
         KeyDigest(self.credential)
     }
 }
 
-/// Where in a chain of calls a request stands.
+/// The position of a request in a chain of calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::request::Nesting")]
@@ -111,7 +112,7 @@
     }
 }
 
-/// A request that one node passes to another.
+/// A request that one node forwards to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::request::Forwarded")]
@@ -134,14 +135,14 @@
     pub retry_allowance: u32,
     pub depth: u16,
     pub hops: u8,
-    /// The length of the fields at the start of the payload, in bytes.
+    /// The length of the headers at the start of the payload, in bytes.
     pub fields: u32,
-    /// How the body follows.
+    /// How the body is sent.
     pub body: Body,
 }
 
 impl Request {
-    /// What decisions need to know of the request.
+    /// The part of the request that the world decides by, as forwarded by the node `from`.
     pub fn forwarded(&self, from: NodeId) -> Forwarded {
         let (team, route) = self.rank;
         Forwarded {
@@ -167,7 +168,7 @@
     }
 }
 
-/// What a node says of its target.
+/// The load of a node's target, as the node reports it to its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::request::Load")]
@@ -206,44 +207,44 @@
     }
 }
 
-/// The answer of a target.
+/// The response of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Response {
-    /// The request.
+    /// The stream of the request.
     pub stream: StreamId,
     /// The HTTP status code.
     pub status: u16,
-    /// The retries that are left of those lent with the request.
+    /// How many of the retries lent with the request are unused.
     pub retries: u32,
-    /// What the node says of its target.
+    /// The load of the sender's target.
     pub load: LoadReport,
-    /// The length of the fields at the start of the payload, in bytes.
+    /// The length of the headers at the start of the payload, in bytes.
     pub fields: u32,
-    /// How the body follows.
+    /// How the body is sent.
     pub body: Body,
 }
 
-/// A refusal in place of an answer.
+/// A refusal in place of a target's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Refused {
-    /// The request.
+    /// The stream of the request.
     pub stream: StreamId,
     /// The name of the reason.
     pub reason: CompactString,
-    /// Whether the request ran: 0 it did not, 1 it may have, 2 it did.
+    /// Whether the request ran: 0 if it did not, 1 if it may have, 2 if it did.
     pub outcome: u8,
-    /// How long the caller should wait before it sends again, in milliseconds.
+    /// How long the caller should wait before a retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// The retries that are left of those lent with the request.
+    /// How many of the retries lent with the request are unused.
     pub retries: u32,
-    /// What the node says of its target.
+    /// The load of the sender's target.
     pub load: LoadReport,
 }
 
 impl Refused {
-    /// A refusal of the request on this stream.
+    /// Encodes a refusal of the request on this stream.
     pub fn new(stream: StreamId, refusal: &Refusal, retries: u32, load: LoadReport) -> Refused {
         let outcome = match refusal.outcome {
             Outcome::NotRun => 0,
@@ -260,7 +261,8 @@
         }
     }
 
-    /// The refusal. A reason that this node does not know is one of the peer's.
+    /// Decodes the refusal. A reason that this node does not know becomes
+    /// [`Reason::PeerFailed`].
     pub fn refusal(&self) -> Refusal {
         let outcome = match self.outcome {
             0 => Outcome::NotRun,
@@ -275,52 +277,52 @@
     }
 }
 
-/// What a frame holds.
+/// The head of a frame.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Head {
-    /// Who is there. The first frame from each side.
+    /// Identifies the sender. The first frame from each side.
     Hello(Hello),
-    /// A request.
+    /// A forwarded request.
     Request(Request),
-    /// The answer of a target.
+    /// The response of a target.
     Answer(Response),
-    /// A refusal in place of an answer.
+    /// A refusal in place of a target's response.
     Refused(Refused),
-    /// The sender does not want the answer any more.
+    /// The sender no longer needs the response to its request.
     Cancel(StreamId),
-    /// A part of a body. The payload of the last one are the fields that follow the body, as lines.
+    /// A part of a body. The payload of the last chunk holds the trailers instead, as lines.
     Chunk {
-        /// The request.
+        /// The stream of the request.
         stream: StreamId,
-        /// Whether the body is complete.
+        /// Whether this chunk ends the body.
         last: bool,
     },
-    /// The receiver has taken a chunk, and has room for one more.
+    /// The receiver of a body has consumed a chunk, and can buffer one more.
     Credit {
-        /// The request.
+        /// The stream of the request.
         stream: StreamId,
     },
-    /// The rest of a body will not come.
+    /// The body was aborted before its end.
     Broken {
-        /// The request.
+        /// The stream of the request.
         stream: StreamId,
     },
-    /// What the node says of its target, without being asked.
+    /// The load of the sender's target, sent unsolicited.
     Load(LoadReport),
     /// A message between worlds.
     Message(message::Message),
-    /// Asks for a sign of life.
+    /// Checks that the peer responds; it replies with `Pong`.
     Ping,
-    /// A sign of life.
+    /// The reply to `Ping`.
     Pong,
 }
 
-/// Writes a frame whose payload stands in parts.
+/// Appends a frame to `out`. Its payload is the concatenation of the given parts.
 ///
 /// # Errors
 ///
-/// If the frame would be too large, or its head cannot be encoded.
+/// If the frame would be too large, or its head can't be encoded.
 ///
 /// ```
 /// use bytes::BytesMut;
@@ -350,11 +352,12 @@
     Ok(())
 }
 
-/// Takes a frame off the front of a buffer. Returns `None` if it is not there in full.
+/// Decodes the frame at the start of a buffer and removes it. Returns `None` and leaves the buffer
+/// unchanged while the frame is incomplete.
 ///
 /// # Errors
 ///
-/// If the frame is too large, or its head cannot be read.
+/// If the frame is too large, or its head can't be decoded.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<(Head, Bytes)>, Error> {
     let Some(prefix) = buffer.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*prefix) as usize;
@@ -367,23 +370,23 @@
     buffer.advance(PREFIX_BYTES);
     let mut frame = buffer.split_to(length).freeze();
     let (head, rest) = postcard::take_from_bytes(&frame)?;
-    let taken = frame.len() - rest.len();
-    frame.advance(taken);
+    let head_bytes = frame.len() - rest.len();
+    frame.advance(head_bytes);
     Ok(Some((head, frame)))
 }
 
-/// Splits a payload into fields and body.
+/// Splits a payload into headers and body. `fields` is the length of the headers, in bytes.
 ///
 /// # Errors
 ///
-/// If it is too short.
+/// If the payload is shorter than the headers.
 ///
 /// ```
 /// use bytes::Bytes;
 /// use mustardpin_wire::frame;
 ///
-/// let (fields, body) = frame::split_payload(Bytes::from_static(b"a: b\r\nbody"), 6)?;
-/// assert_eq!((&fields[..], &body[..]), (&b"a: b\r\n"[..], &b"body"[..]));
+/// let (headers, body) = frame::split_payload(Bytes::from_static(b"a: b\r\nbody"), 6)?;
+/// assert_eq!((&headers[..], &body[..]), (&b"a: b\r\n"[..], &b"body"[..]));
 /// # Ok::<(), mustardpin_wire::frame::Error>(())
 /// ```
 pub fn split_payload(mut payload: Bytes, fields: u32) -> Result<(Bytes, Bytes), Error> {
