--- a/crates/mustardpin-wire/src/dialect.rs
+++ b/crates/mustardpin-wire/src/dialect.rs
@@ -118,8 +118,8 @@
     /// If the head is malformed, or the sender may not use one of its headers.
     fn read_request(&self, port: Port, head: &Request) -> Result<ParsedRequest, RequestError>;
 
-    /// Whether a header of a caller's request is forwarded to the target. Hop-by-hop headers and the
-    /// length of the body are never forwarded, and not passed to this function.
+    /// Whether a header of a caller's request is forwarded to the target. Hop-by-hop headers and
+    /// `Content-Length` are never forwarded, and not passed to this function.
     fn forwards_request_header(&self, request: &ParsedRequest, name: &str, value: &[u8]) -> bool;
 
     /// Writes the headers that the node which accepted the request from its sender adds.
--- a/crates/mustardpin-wire/src/header.rs
+++ b/crates/mustardpin-wire/src/header.rs
@@ -1,24 +1,24 @@
-//! Names of the headers that callers, targets and nodes use.
+//! The names of the headers that callers, targets and nodes use.
 
-/// Names a request in logs.
+/// The id of a request in log entries.
 pub const REQUEST_ID: &str = "request-id";
-/// How long the sender waits for the whole answer, in milliseconds.
+/// The time that the sender waits for the complete response, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: &str = "request-timeout-ms";
-/// Links a target's own calls to the call it is running.
+/// The call token, which links a target's own calls to the call that it is running.
 pub const CALL: &str = "mustardpin-call";
-/// Whether the request ran: `not-run`, `unknown` or `run`. Only on answers of the system.
+/// Whether the request ran: `not-run`, `unknown` or `run`. Only on the system's own responses.
 pub const OUTCOME: &str = "mustardpin-outcome";
-/// Why the system refused: the name of the counter.
+/// The reason of a refusal, which is also the name of its counter.
 pub const REASON: &str = "mustardpin-reason";
-/// By which a target declines a request; see [`crate::target`].
+/// Marks a response by which a target declines a request; see [`crate::target`].
 pub const TARGET_OUTCOME: &str = "target-outcome";
 
-/// Every header with this prefix belongs to the system and is removed from what others send.
+/// The prefix of the system's own headers, which are removed from callers' and targets' messages.
 pub const PREFIX: &str = "mustardpin-";
 /// The media type of the body of a refusal.
 pub const PROBLEM_JSON: &str = "application/problem+json";
 
-/// Headers that concern one connection only and are not passed on.
+/// Headers that concern one connection only and are not forwarded.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "expect",
@@ -32,7 +32,7 @@
     "upgrade",
 ];
 
-/// Whether a header concerns one connection only and must not be passed on.
+/// Whether a header concerns one connection only and must not be forwarded.
 ///
 /// ```
 /// use mustardpin_wire::header;
@@ -43,7 +43,7 @@
     HOP_BY_HOP.iter().any(|other| other.eq_ignore_ascii_case(name))
 }
 
-/// Whether a header belongs to the system.
+/// Whether a header is one of the system's own.
 ///
 /// ```
 /// use mustardpin_wire::header;
--- a/crates/mustardpin-wire/src/message.rs
+++ b/crates/mustardpin-wire/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between worlds.
+//! The encoding of messages between the worlds of two nodes.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error, From};
@@ -12,14 +12,14 @@
 
 use crate::{config, store::Announcement};
 
-/// Why a message could not be read.
+/// Why a message can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Display, Error, From)]
 pub enum Error {
-    /// A row of the configuration could not be read.
+    /// A row of the configuration can't be decoded.
     #[display("a row of the configuration could not be read")]
     Config(config::Error),
-    /// A node's announcement could not be read.
+    /// A node's announcement can't be decoded.
     #[display("a node's announcement could not be read")]
     Node(std::num::ParseIntError),
 }
@@ -42,7 +42,7 @@
     Cleared(u64),
 }
 
-/// What a run of a route costs.
+/// The cost of a run of one route.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors mustardpin_world::message::pressure")]
--- a/crates/mustardpin-wire/src/native.rs
+++ b/crates/mustardpin-wire/src/native.rs
@@ -1,4 +1,4 @@
-//! The project's own dialect, as docs/CALLERS.md describes it.
+//! The project's own dialect, documented in docs/CALLERS.md.
 
 use bytes::Bytes;
 use compact_str::{CompactString, format_compact};
@@ -24,10 +24,10 @@
     target,
 };
 
-/// The longest id of a request, in bytes.
+/// The maximum length of a request id, in bytes.
 const MAX_ID_BYTES: usize = 128;
 
-/// The project's own dialect, at a node of one service.
+/// The project's own dialect, on a node whose target belongs to one service.
 #[derive(Debug, Clone)]
 pub struct Native {
     service: CompactString,
@@ -57,7 +57,7 @@
         }
         Ok(ParsedRequest {
             origin: origin(port, headers, key)?,
-            id: id(headers)?,
+            id: request_id(headers)?,
             host: host(headers)?,
             timeout: timeout(headers)?,
             secret,
@@ -72,12 +72,12 @@
             && !request.secret.is_in(value)
     }
 
-    fn write_entry_headers(&self, _entry: EntryHeaders<'_>, _fields: &mut Vec<u8>) {}
+    fn write_entry_headers(&self, _entry: EntryHeaders<'_>, _out: &mut Vec<u8>) {}
 
-    fn write_delivery_headers(&self, delivery: DeliveryHeaders<'_>, fields: &mut Vec<u8>) {
+    fn write_delivery_headers(&self, delivery: DeliveryHeaders<'_>, out: &mut Vec<u8>) {
         let token = format_compact!("{:032x}", delivery.token.0);
-        write::field(fields, header::CALL, token.as_bytes());
-        write::number(fields, header::REQUEST_TIMEOUT_MS, delivery.left.0);
+        write::field(out, header::CALL, token.as_bytes());
+        write::number(out, header::REQUEST_TIMEOUT_MS, delivery.left.0);
     }
 
     fn read_response(&self, _id: &str, head: &Response) -> ResponseKind {
@@ -93,13 +93,8 @@
         !header::is_internal(name)
     }
 
-    fn write_refusal(
-        &self,
-        refusal: &Refusal,
-        _left: Option<Millis>,
-        fields: &mut Vec<u8>,
-    ) -> Bytes {
-        refusal::write(refusal, fields)
+    fn write_refusal(&self, refusal: &Refusal, _left: Option<Millis>, out: &mut Vec<u8>) -> Bytes {
+        refusal::write(refusal, out)
     }
 
     fn read_report(&self, head: &Request, body: &[u8]) -> Option<Report> {
@@ -120,9 +115,9 @@
 }
 
 fn origin(port: Port, headers: &Headers, key: Option<&str>) -> Result<Origin, RequestError> {
-    match (port, single(headers, header::CALL)?) {
+    match (port, single_value(headers, header::CALL)?) {
         (Port::Local, Some(text)) => {
-            let token = decode_token(text).ok_or_else(|| unreadable(header::CALL))?;
+            let token = decode_token(text).ok_or_else(|| invalid_header(header::CALL))?;
             Ok(Origin::Target { token: Some(token) })
         }
         (Port::Callers, Some(_)) => Err(RequestError {
@@ -133,31 +128,32 @@
     }
 }
 
-/// The text after `Bearer`; `None` without the header and with other schemes.
+/// The token after `Bearer` in the `Authorization` header; `None` without the header, or with
+/// another scheme.
 fn bearer(headers: &Headers) -> Result<Option<&str>, RequestError> {
-    let Some(text) = single(headers, "authorization")? else { return Ok(None) };
+    let Some(text) = single_value(headers, "authorization")? else { return Ok(None) };
     let Some((scheme, key)) = text.split_once(' ') else { return Ok(None) };
     let key = key.trim();
     Ok((scheme.eq_ignore_ascii_case("bearer") && !key.is_empty()).then_some(key))
 }
 
-fn id(headers: &Headers) -> Result<Option<CompactString>, RequestError> {
-    let Some(text) = single(headers, header::REQUEST_ID)? else { return Ok(None) };
+fn request_id(headers: &Headers) -> Result<Option<CompactString>, RequestError> {
+    let Some(text) = single_value(headers, header::REQUEST_ID)? else { return Ok(None) };
     if text.is_empty() || text.len() > MAX_ID_BYTES {
-        return Err(unreadable(header::REQUEST_ID));
+        return Err(invalid_header(header::REQUEST_ID));
     }
     Ok(Some(text.into()))
 }
 
 fn host(headers: &Headers) -> Result<CompactString, RequestError> {
-    let host = single(headers, "host")?.unwrap_or_default();
+    let host = single_value(headers, "host")?.unwrap_or_default();
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     Ok(name.to_ascii_lowercase().into())
 }
 
 fn timeout(headers: &Headers) -> Result<Option<Millis>, RequestError> {
-    let Some(text) = single(headers, header::REQUEST_TIMEOUT_MS)? else { return Ok(None) };
-    let timeout = text.parse().map_err(|_| unreadable(header::REQUEST_TIMEOUT_MS))?;
+    let Some(text) = single_value(headers, header::REQUEST_TIMEOUT_MS)? else { return Ok(None) };
+    let timeout = text.parse().map_err(|_| invalid_header(header::REQUEST_TIMEOUT_MS))?;
     Ok(Some(Millis(timeout)))
 }
 
@@ -168,17 +164,17 @@
     u128::from_str_radix(text, 16).ok().map(CallToken)
 }
 
-fn unreadable(name: &str) -> RequestError {
+fn invalid_header(name: &str) -> RequestError {
     RequestError::malformed(format_compact!("the header {name} has a value that cannot be read"))
 }
 
-/// The value of a header that may stand once only.
-fn single<'a>(headers: &'a Headers, name: &str) -> Result<Option<&'a str>, RequestError> {
+/// The value of a header that may occur only once.
+fn single_value<'a>(headers: &'a Headers, name: &str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.iter().filter(|(other, _)| other.eq_ignore_ascii_case(name));
     let Some((_, value)) = values.next() else { return Ok(None) };
     if values.next().is_some() {
         let problem = format_compact!("the header {name} stands more than once");
         return Err(RequestError::malformed(problem));
     }
-    std::str::from_utf8(value).map(Some).map_err(|_| unreadable(name))
+    std::str::from_utf8(value).map(Some).map_err(|_| invalid_header(name))
 }
--- a/crates/mustardpin-wire/src/refusal.rs
+++ b/crates/mustardpin-wire/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP answers.
+//! Refusals as HTTP responses.
 
 use bytes::Bytes;
 use mustardpin_http::write;
@@ -17,33 +17,33 @@
     reason: &'a str,
 }
 
-/// Writes the fields of a refusal and returns its body.
+/// Writes the headers of a refusal to `out` and returns its body.
 ///
 /// ```
 /// use mustardpin_wire::refusal;
 /// use mustardpin_world::refusal::{Reason, Refusal};
 ///
-/// let mut fields = Vec::new();
-/// refusal::write(&Refusal::not_run(Reason::NoTarget), &mut fields);
-/// assert!(fields.starts_with(b"mustardpin-outcome: not-run\r\n"));
+/// let mut out = Vec::new();
+/// refusal::write(&Refusal::not_run(Reason::NoTarget), &mut out);
+/// assert!(out.starts_with(b"mustardpin-outcome: not-run\r\n"));
 /// ```
-pub fn write(refusal: &refusal::Refusal, fields: &mut Vec<u8>) -> Bytes {
+pub fn write(refusal: &refusal::Refusal, out: &mut Vec<u8>) -> Bytes {
     let (reason, outcome) = (refusal.reason.to_string(), refusal.outcome.to_string());
-    write::field(fields, header::OUTCOME, outcome.as_bytes());
-    write::field(fields, header::REASON, reason.as_bytes());
-    write::field(fields, "content-type", header::PROBLEM_JSON.as_bytes());
+    write::field(out, header::OUTCOME, outcome.as_bytes());
+    write::field(out, header::REASON, reason.as_bytes());
+    write::field(out, "content-type", header::PROBLEM_JSON.as_bytes());
     if let Some(wait) = refusal.retry_after {
-        write::number(fields, "retry-after", whole_seconds(wait));
+        write::number(out, "retry-after", seconds_rounded_up(wait));
     }
     let status = refusal.status();
     let title = title(status);
     let problem = Problem { title, status, outcome: &outcome, reason: &reason };
-    // A struct of texts and a number always becomes JSON.
+    // Can't fail: a struct of strings and a number always serializes to JSON.
     serde_json::to_vec(&problem).unwrap_or_default().into()
 }
 
-/// Rounded up, so that the caller never comes back too early.
-fn whole_seconds(wait: Millis) -> u64 {
+/// Rounds up, so that the caller doesn't retry too early.
+fn seconds_rounded_up(wait: Millis) -> u64 {
     wait.0.div_ceil(1_000)
 }
 
--- a/crates/mustardpin-wire/src/scrub.rs
+++ b/crates/mustardpin-wire/src/scrub.rs
@@ -1,12 +1,12 @@
-//! Removes keys, and headers that must not travel, from what is passed on.
+//! Removes keys, and headers that must not be forwarded, from forwarded messages.
 
 use mustardpin_http::{Headers, write};
 
 use crate::header;
 
-/// The text of a caller's key, kept only as long as its request is in progress.
+/// The secret of a caller's key, kept only as long as the request is in progress.
 ///
-/// Its `Debug` output does not show the text.
+/// Its `Debug` output does not show the secret.
 #[derive(Clone, Default)]
 pub struct Secret(Option<Box<str>>);
 
@@ -17,8 +17,8 @@
 }
 
 impl Secret {
-    /// The secret part of a key of the form `ID.SECRET`: all that follows the first full stop, or
-    /// the whole key if it has none.
+    /// The secret part of a key of the form `ID.SECRET`: everything after the first dot, or the
+    /// whole key if it has no dot or nothing after it.
     ///
     /// ```
     /// use mustardpin_wire::scrub::Secret;
@@ -32,7 +32,7 @@
         Secret((!text.is_empty()).then(|| text.into()))
     }
 
-    /// Whether some text contains the secret, in whatever case.
+    /// Whether a text contains the secret, ignoring case.
     pub fn is_in(&self, text: &[u8]) -> bool {
         let Some(secret) = &self.0 else { return false };
         text.len() >= secret.len()
@@ -41,7 +41,7 @@
                 .any(|window| window.eq_ignore_ascii_case(secret.as_bytes()))
     }
 
-    /// Whether a request target contains the secret, as it stands or percent-encoded.
+    /// Whether a request target contains the secret, literally or percent-encoded.
     ///
     /// ```
     /// use mustardpin_wire::scrub::Secret;
@@ -53,9 +53,9 @@
     }
 }
 
-/// Copies the fields of a message that go on: not those that concern one connection, also by what
-/// `Connection` says, not the length, which belongs to the body as it is sent, and none for which
-/// `passes` is false.
+/// Copies the headers of a message that are forwarded. Left out are hop-by-hop headers, headers
+/// listed in `Connection`, `Content-Length`, which is set for the body as it is sent, and headers
+/// for which `forwards` returns false.
 ///
 /// ```
 /// use mustardpin_http::Headers;
@@ -67,12 +67,12 @@
 /// scrub::copy_headers(&headers, |_, _| true, &mut out);
 /// assert_eq!(out, b"Accept: */*\r\n");
 /// ```
-pub fn copy_headers(headers: &Headers, passes: impl Fn(&str, &[u8]) -> bool, out: &mut Vec<u8>) {
-    let names_others = headers.get("connection").is_some();
+pub fn copy_headers(headers: &Headers, forwards: impl Fn(&str, &[u8]) -> bool, out: &mut Vec<u8>) {
+    let has_connection = headers.get("connection").is_some();
     for (name, value) in headers.iter() {
-        let is_named = names_others && headers.has_token("connection", name);
+        let is_listed = has_connection && headers.has_token("connection", name);
         let is_length = name.eq_ignore_ascii_case("content-length");
-        if !is_named && !is_length && !header::is_hop_by_hop(name) && passes(name, value) {
+        if !is_listed && !is_length && !header::is_hop_by_hop(name) && forwards(name, value) {
             write::field(out, name, value);
         }
     }
--- a/crates/mustardpin-wire/src/store.rs
+++ b/crates/mustardpin-wire/src/store.rs
@@ -1,6 +1,6 @@
-//! Rows of the store, as they stand there.
+//! The encoding of the store's rows.
 //!
-//! A row's key names it and its value is JSON, so that operators can read what is there.
+//! A row has a text key that identifies it and a JSON value, so that operators can read both.
 
 use compact_str::{CompactString, format_compact};
 use derive_more::{Display, Error, From};
@@ -18,21 +18,21 @@
 const HEAD: &str = "head";
 const CONFIGURATION_PREFIX: &str = "row/";
 
-/// Why a row cannot be read.
+/// Why a row can't be encoded or decoded.
 #[derive(Debug)]
 #[derive(Display, Error, From)]
 pub enum Error {
-    /// The key names no row of the project.
+    /// The key is not the key of any kind of row.
     #[display("the key {_0:?} names no row of the project")]
     #[from(skip)]
     Key(#[error(not(source))] CompactString),
-    /// The value has the wrong shape.
+    /// The value is not JSON, or doesn't have the fields of its kind of row.
     #[display("the value has the wrong shape")]
     Json(serde_json::Error),
-    /// A row of the configuration has a value that cannot be read.
+    /// A row of the configuration can't be decoded.
     #[display("a row of the configuration cannot be read")]
     Config(config::Error),
-    /// A name holds something that is not a number.
+    /// The id in a node's announcement is not a hexadecimal number.
     #[display("the node's id is not a hexadecimal number")]
     Node(std::num::ParseIntError),
 }
@@ -77,14 +77,14 @@
     }
 }
 
-/// The members of the roster, by data centre.
+/// The members of the roster, each as a pair of data centre and node name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct Members {
     members: Vec<(CompactString, CompactString)>,
 }
 
-/// The key of a row.
+/// Encodes the key of a row.
 ///
 /// ```
 /// use mustardpin_wire::store;
@@ -93,25 +93,25 @@
 /// ```
 pub fn encode_key(key: &RowKey) -> CompactString {
     match key {
-        RowKey::Node(place) => format_compact!("{NODE_PREFIX}{place}"),
+        RowKey::Node(name) => format_compact!("{NODE_PREFIX}{name}"),
         RowKey::Roster => ROSTER.into(),
         RowKey::Head => HEAD.into(),
         RowKey::Configuration(path) => format_compact!("{CONFIGURATION_PREFIX}{path}"),
     }
 }
 
-/// The row that a key names.
+/// Decodes the key of a row.
 ///
 /// # Errors
 ///
-/// If it is no key of the project.
+/// If it is not the key of any kind of row.
 pub fn decode_key(key: &str) -> Result<RowKey, Error> {
     let unknown = || Error::Key(key.into());
     match key {
         ROSTER => Ok(RowKey::Roster),
         HEAD => Ok(RowKey::Head),
         _ => match key.strip_prefix(NODE_PREFIX) {
-            Some(place) => Ok(RowKey::Node(place.into())),
+            Some(name) => Ok(RowKey::Node(name.into())),
             None => {
                 let path = key.strip_prefix(CONFIGURATION_PREFIX).ok_or_else(unknown)?;
                 let (kind, name) = path.split_once('/').ok_or_else(unknown)?;
@@ -122,11 +122,11 @@
     }
 }
 
-/// The value of a row.
+/// Encodes the value of a row.
 ///
 /// # Errors
 ///
-/// Never, for the values that there are.
+/// If JSON can't represent the value, which does not occur for the existing kinds of values.
 pub fn encode_value(value: &Value) -> Result<Vec<u8>, Error> {
     Ok(match value {
         Value::Node(announcement) => serde_json::to_vec(&Announcement::from(announcement.clone()))?,
@@ -141,11 +141,11 @@
     })
 }
 
-/// The value of the row with this key.
+/// Decodes the value of the row with this key.
 ///
 /// # Errors
 ///
-/// If it has the wrong shape.
+/// If the value is not valid for the kind of row.
 ///
 /// ```
 /// use mustardpin_wire::store;
--- a/crates/mustardpin-wire/src/target.rs
+++ b/crates/mustardpin-wire/src/target.rs
@@ -1,14 +1,15 @@
-//! What a target says of itself to the node in its slot.
+//! Reports of a target to its own node.
 //!
-//! About once a second a target sends `POST /target/announce` to the node's local listener. It
-//! declines a request that it did not run with status 503 and the header `Target-Outcome: not-run`.
+//! About once a second a target sends `POST /target/announce` to the node's local listener. To
+//! decline a request that it did not run, it responds with status 503 and the header
+//! `Target-Outcome: not-run`.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error, From};
 use mustardpin_world::event::TargetReport;
 use serde::{Deserialize, Serialize};
 
-/// Where a target announces itself.
+/// The path to which a target posts its announcements.
 pub const ANNOUNCE_PATH: &str = "/target/announce";
 /// The value of the header `Target-Outcome` by which a target declines a request.
 pub const NOT_RUN: &str = "not-run";
@@ -17,7 +18,7 @@
 #[derive(Debug)]
 #[derive(Display, Error, From)]
 pub enum Error {
-    /// The body has the wrong shape.
+    /// The body is not JSON, or doesn't have the fields of an announcement.
     #[display("the announcement has the wrong shape: {_0}")]
     Json(serde_json::Error),
     /// The address is not of the form `IP:port`.
@@ -27,9 +28,9 @@
     /// The target belongs to another service.
     #[display("the node serves targets of {expected:?}, not of {actual:?}")]
     Service {
-        /// The node's service.
+        /// The service of the node.
         expected: CompactString,
-        /// The target's.
+        /// The service of the target.
         actual: CompactString,
     },
 }
@@ -39,19 +40,19 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Where it takes requests, as `IP:port`.
+    /// The address at which the target accepts requests, as `IP:port`.
     pub address: CompactString,
-    /// The service it belongs to.
+    /// The service that the target belongs to.
     pub service: CompactString,
-    /// How many requests it can run at once, by its own account.
+    /// How many requests the target can run at once, if it reports that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// Whether it says it is healthy.
+    /// Whether the target is healthy.
     pub healthy: bool,
-    /// Whether it is draining and wants no new requests.
+    /// Whether the target is draining and accepts no new requests.
     #[serde(default)]
     pub draining: bool,
-    /// Requests it says it is running.
+    /// How many requests the target is running, if it reports that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
@@ -60,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// If it cannot be read, or comes from a target of another service.
+/// If the announcement is malformed, or comes from a target of another service.
 pub fn read(service: &str, body: &[u8]) -> Result<TargetReport, Error> {
     let announcement: Announcement = serde_json::from_slice(body)?;
     if announcement.service != service {
