--- a/crates/mustardpin-wire/tests/testsuite/decode.rs
+++ b/crates/mustardpin-wire/tests/testsuite/decode.rs
@@ -1,5 +1,5 @@
-//! Decoders that face the network: no input makes them fail otherwise than by an error, and
-//! nothing that must not travel is passed on.
+//! Decoders of untrusted input: any input is decoded or returns an error, and secrets and internal
+//! headers are not forwarded.
 
 use mustardpin_http::{Headers, head::Request};
 use mustardpin_wire::{
@@ -52,7 +52,7 @@
 
 proptest! {
     #[test]
-    fn any_head_becomes_a_request_or_an_error(
+    fn any_head_is_parsed_or_an_error(
         fields in headers(),
         target in "(/|\\*|http://fleet|fleet:80)[!-~]{0,30}",
         port in port(),
@@ -65,7 +65,7 @@
     }
 
     #[test]
-    fn only_the_target_itself_names_a_call(token in any::<u128>()) {
+    fn call_tokens_are_accepted_only_from_the_local_target(token in any::<u128>()) {
         let token_text = format!("{token:032x}");
         let fields = [("mustardpin-call", token_text.as_bytes())];
         let head = Request::new("GET", "/slots", fields.into_iter().collect());
@@ -77,12 +77,12 @@
     }
 
     #[test]
-    fn no_field_with_the_secret_goes_on(
+    fn no_header_with_the_secret_is_forwarded(
         fields in headers(),
         copies in vec((select(KNOWN_HEADERS), "[ -~]{0,10}", "[ -~]{0,10}"), 1..5),
         secret in "[a-zA-Z0-9]{6,20}",
     ) {
-        // A dialect refuses a request that has one of these twice, or with another value.
+        // The dialect rejects a request in which one of these occurs twice or has an invalid value.
         const SINGLE: [&str; 5] =
             ["authorization", "host", "request-id", "request-timeout-ms", "mustardpin-call"];
         let copies = copies.into_iter().map(|(name, before, after)| {
@@ -96,16 +96,16 @@
         let request = dialect.read_request(Port::Callers, &head).expect("the head can be read");
         let digest = KeyDigest::of(&format!("garage-1.{secret}"));
         prop_assert_eq!(&request.origin, &Origin::Caller { key: Some(digest) });
-        let mut passed = Vec::new();
-        let passes = |name: &str, value: &[u8]| dialect.forwards_request_header(&request, name, value);
-        scrub::copy_headers(&head.headers, passes, &mut passed);
-        let text = String::from_utf8_lossy(&passed).to_lowercase();
+        let mut forwarded = Vec::new();
+        let forwards = |name: &str, value: &[u8]| dialect.forwards_request_header(&request, name, value);
+        scrub::copy_headers(&head.headers, forwards, &mut forwarded);
+        let text = String::from_utf8_lossy(&forwarded).to_lowercase();
         prop_assert!(!text.contains(&secret.to_lowercase()), "{}", text);
         prop_assert!(!text.contains("authorization:") && !text.contains("mustardpin-"));
     }
 
     #[test]
-    fn a_key_in_the_target_is_refused(secret in "[a-zA-Z0-9]{6,20}") {
+    fn a_key_in_the_request_target_is_refused(secret in "[a-zA-Z0-9]{6,20}") {
         let value = format!("Bearer garage-1.{secret}");
         let headers: Headers = [("authorization", value.as_bytes())].into_iter().collect();
         let head = Request::new("GET", &format!("/slots?key={secret}"), headers);
--- a/crates/mustardpin-wire/tests/testsuite/frame.rs
+++ b/crates/mustardpin-wire/tests/testsuite/frame.rs
@@ -1,4 +1,5 @@
-//! Frames between nodes: what was written is read, and no bytes are read otherwise than as frames.
+//! Frames between nodes: encoded frames decode to the same values, and any other bytes decode or
+//! return an error.
 
 use bytes::BytesMut;
 use mustardpin_wire::frame::{
@@ -35,7 +36,7 @@
 
 proptest! {
     #[test]
-    fn frames_come_back_the_same(heads in vec((head(), vec(any::<u8>(), 0..40)), 1..6)) {
+    fn frames_round_trip(heads in vec((head(), vec(any::<u8>(), 0..40)), 1..6)) {
         let mut out = Vec::new();
         for (head, payload) in &heads {
             frame::encode(&mut out, head, &[payload]).expect("the frame is small");
@@ -49,7 +50,7 @@
     }
 
     #[test]
-    fn a_frame_that_is_not_there_in_full_is_waited_for(head in head(), cut in 0_usize..100) {
+    fn an_incomplete_frame_stays_in_the_buffer(head in head(), cut in 0_usize..100) {
         let mut out = Vec::new();
         frame::encode(&mut out, &head, &[b"payload"]).expect("the frame is small");
         let cut = cut.min(out.len() - 1);
@@ -59,13 +60,13 @@
     }
 
     #[test]
-    fn any_bytes_are_frames_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
+    fn any_bytes_decode_or_are_an_error(bytes in vec(any::<u8>(), 0..200)) {
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = frame::decode(&mut buffer) {}
     }
 
     #[test]
-    fn forwarded_requests_come_back_the_same(
+    fn forwarded_requests_round_trip(
         names in vec("[a-zA-Z0-9 é-]{1,20}", 4),
         key_id in option::of("[a-zA-Z0-9 é-]{1,20}"),
         ranks in any::<(u8, u8)>(),
@@ -117,7 +118,7 @@
     }
 
     #[test]
-    fn refusals_come_back_the_same(
+    fn refusals_round_trip(
         reason in select(Reason::ALL),
         outcome in select(vec![Outcome::NotRun, Outcome::Unknown, Outcome::Run]),
         wait in option::of(any::<u64>()),
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_frame_that_is_too_large_is_neither_written_nor_read() {
+fn a_frame_that_is_too_large_is_neither_encoded_nor_decoded() {
     let payload = vec![0; frame::MAX_FRAME_BYTES + 1];
     let mut out = b"before".to_vec();
     assert!(frame::encode(&mut out, &Head::Ping, &[&payload]).is_err());
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn the_first_frame_says_who_is_there() {
+fn hello_frames_round_trip() {
     let announcement = Announcement {
         node: "0000000000000007".into(),
         name: "north-1".into(),
--- a/crates/mustardpin-wire/tests/testsuite/main.rs
+++ b/crates/mustardpin-wire/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the wire types: round trips, and decoders that face the network.
+//! Tests of the wire types: round trips, and decoders of untrusted input.
 
 mod decode;
 mod frame;
--- a/crates/mustardpin-wire/tests/testsuite/message.rs
+++ b/crates/mustardpin-wire/tests/testsuite/message.rs
@@ -1,4 +1,4 @@
-//! Messages between worlds come back as they were sent.
+//! Messages between worlds are unchanged by encoding and decoding.
 
 use mustardpin_wire::message::Message;
 use mustardpin_world::{
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were_sent() {
+fn messages_round_trip() {
     for sent in messages() {
         let bytes = postcard::to_allocvec(&Message::from(sent.clone())).expect("it can be written");
         let read: Message = postcard::from_bytes(&bytes).expect("it can be read");
--- a/crates/mustardpin-wire/tests/testsuite/refusal.rs
+++ b/crates/mustardpin-wire/tests/testsuite/refusal.rs
@@ -1,4 +1,4 @@
-//! What callers see of refusals.
+//! Refusals as callers receive them.
 
 use std::fmt::Write as _;
 
@@ -8,11 +8,11 @@
     refusal::{Outcome, Reason, Refusal},
 };
 
-/// Statuses by which callers are promised that the request has not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// The statuses that guarantee to callers that the request has not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 #[test]
-fn fields_and_body_of_a_refusal() {
+fn headers_and_body_of_a_refusal() {
     let refusal = Refusal::not_run(Reason::QueueFull).after(Millis(1_200));
     let mut fields = Vec::new();
     let body = refusal::write(&refusal, &mut fields);
@@ -26,7 +26,10 @@
     for &reason in Reason::ALL {
         let [not_run, unknown, run] = [Outcome::NotRun, Outcome::Unknown, Outcome::Run]
             .map(|outcome| Refusal { outcome, ..Refusal::not_run(reason) }.status());
-        assert!(!PROMISES.contains(&unknown) && !PROMISES.contains(&run), "{reason}");
+        assert!(
+            !NOT_RUN_STATUSES.contains(&unknown) && !NOT_RUN_STATUSES.contains(&run),
+            "{reason}"
+        );
         writeln!(table, "{reason}: {not_run}, if it may have run {unknown}").unwrap();
     }
     insta::assert_snapshot!(table);
--- a/crates/mustardpin-wire/tests/testsuite/store.rs
+++ b/crates/mustardpin-wire/tests/testsuite/store.rs
@@ -1,4 +1,4 @@
-//! Rows of the store.
+//! The encoding of the store's rows.
 
 use std::fmt::Write as _;
 
@@ -11,7 +11,7 @@
 };
 use proptest::prelude::*;
 
-/// A row of the configuration of each kind.
+/// One row of each kind of the configuration.
 pub fn configuration() -> Vec<config::Row> {
     let route = config::Route::new("book", "/bookings", "ledger", Millis(2_000));
     vec![
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn rows_as_they_stand_in_the_store() {
+fn encoding_of_rows() {
     let mut text = String::new();
     for (row_key, value) in rows() {
         let value = store::encode_value(&value).expect("it can be written");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn rows_come_back_as_they_were_written() {
+fn rows_round_trip() {
     for (row_key, value) in rows() {
         let key = store::encode_key(&row_key);
         let bytes = store::encode_value(&value).expect("it can be written");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn other_keys_and_wrong_values_are_errors() {
+fn unknown_keys_and_invalid_values_are_errors() {
     let read = |key: &str, value: &str| {
         let read = store::decode_key(key)
             .and_then(|row_key| store::decode_value(&row_key, value.as_bytes()));
@@ -113,7 +113,7 @@
 
 proptest! {
     #[test]
-    fn any_row_is_read_or_an_error(
+    fn any_row_is_decoded_or_an_error(
         key in "(row/(team|route|key|fleet|exception|x)/[a-z]{0,5}|node/.{0,17}|head|roster|x)",
         json in "(null|1|\"x\"|\\[\"x\"\\]|\\{\"(team|route|key|fleet|exception|node)\":(1|null|\\{\\})\\})",
     ) {
