--- a/crates/mustardpin-wire/src/native.rs
+++ b/crates/mustardpin-wire/src/native.rs
@@ -122,7 +122,7 @@
         }
         (Port::Callers, Some(_)) => Err(RequestError {
             reason: Reason::CallTokenInvalid,
-            problem: "a call token came from elsewhere than the node's own target".into(),
+            problem: "a call token is accepted only from the node's local target".into(),
         }),
         (_, None) => Ok(Origin::Caller { key: key.map(KeyDigest::of) }),
     }
@@ -165,7 +165,7 @@
 }
 
 fn invalid_header(name: &str) -> RequestError {
-    RequestError::malformed(format_compact!("the header {name} has a value that cannot be read"))
+    RequestError::malformed(format_compact!("the header {name} has an invalid value"))
 }
 
 /// The value of a header that may occur only once.
@@ -173,7 +173,7 @@
     let mut values = headers.iter().filter(|(other, _)| other.eq_ignore_ascii_case(name));
     let Some((_, value)) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        let problem = format_compact!("the header {name} stands more than once");
+        let problem = format_compact!("the header {name} occurs more than once");
         return Err(RequestError::malformed(problem));
     }
     std::str::from_utf8(value).map(Some).map_err(|_| invalid_header(name))
--- a/crates/mustardpin-world/src/config.rs
+++ b/crates/mustardpin-world/src/config.rs
@@ -327,7 +327,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum ChangeError {
     /// Another change was accepted since the revision that this change is based on.
-    #[display("the configuration moved on from revision {expected} to {actual}: {}", changed.iter().map(Path::to_string).collect::<Vec<_>>().join(", "))]
+    #[display("the configuration changed from revision {expected} to {actual}: {}", changed.iter().map(Path::to_string).collect::<Vec<_>>().join(", "))]
     Conflict {
         /// The revision that the change is based on.
         expected: Revision,
@@ -345,7 +345,7 @@
         problem: CompactString,
     },
     /// The store did not reply in time, so whether the change took effect is unknown.
-    #[display("the store does not answer; ask again with the same change id")]
+    #[display("the store does not respond; retry with the same change id")]
     StoreUnavailable,
     /// The platform's operators write the configuration directly, not through nodes.
     #[display("the configuration of this deployment is not changed through nodes")]
