--- a/crates/mustardpin-node/src/traffic/intake.rs
+++ b/crates/mustardpin-node/src/traffic/intake.rs
@@ -82,7 +82,7 @@
     // A request whose head cannot be parsed is not forwarded.
     let Ok(parsed) = exchanges.dialect.read_request(port, head) else { return Bytes::new() };
     let mut trailer_lines = Vec::new();
-    scrub::copy(
+    scrub::copy_headers(
         trailers,
         |name, value| exchanges.dialect.forwards_request_header(&parsed, name, value),
         &mut trailer_lines,
@@ -100,7 +100,7 @@
     let mut header_lines = Vec::with_capacity(256);
     let is_forwarded =
         |name: &str, value: &[u8]| exchanges.dialect.forwards_request_header(parsed, name, value);
-    scrub::copy(&head.headers, is_forwarded, &mut header_lines);
+    scrub::copy_headers(&head.headers, is_forwarded, &mut header_lines);
     let prefix = match &body {
         Body::Complete(bytes) => bytes,
         Body::Stream(streamed) => streamed.first(),
--- a/crates/mustardpin-node/src/traffic/link/incoming.rs
+++ b/crates/mustardpin-node/src/traffic/link/incoming.rs
@@ -60,7 +60,7 @@
 async fn handshake(exchanges: &Exchanges, wire: &mut Wire) -> Result<Announcement, Error> {
     let hello = wire.receive_hello().await?;
     let credentials = &exchanges.links.credentials;
-    if hello.credential() != credentials.fleet || hello.version != frame::VERSION {
+    if hello.credential() != credentials.fleet || hello.version != frame::PROTOCOL_VERSION {
         return Err(Error::Credential);
     }
     let own = credentials.announcement.node;
@@ -146,7 +146,7 @@
     payload: Bytes,
 ) -> Result<(), Error> {
     let stream = head.stream;
-    let (header_lines, complete_body) = frame::split(payload, head.fields)?;
+    let (header_lines, complete_body) = frame::split_payload(payload, head.fields)?;
     let body = match head.body {
         frame::Body::Whole | frame::Body::Empty => Body::Complete(complete_body),
         frame::Body::Chunks { length } => {
--- a/crates/mustardpin-node/src/traffic/link/outgoing.rs
+++ b/crates/mustardpin-node/src/traffic/link/outgoing.rs
@@ -253,7 +253,7 @@
     let own = Revision(exchanges.load().revision);
     wire.send_hello(credentials.hello(Some(link.announcement.node), own)).await?;
     let hello = wire.receive_hello().await?;
-    if hello.credential() != credentials.fleet || hello.version != frame::VERSION {
+    if hello.credential() != credentials.fleet || hello.version != frame::PROTOCOL_VERSION {
         return Err(Error::Credential);
     }
     let revision = Revision(hello.revision);
@@ -406,7 +406,7 @@
     head: frame::Response,
     payload: Bytes,
 ) -> Result<(), Error> {
-    let (header_lines, complete_body) = frame::split(payload, head.fields)?;
+    let (header_lines, complete_body) = frame::split_payload(payload, head.fields)?;
     let status = head.status;
     let mut streams = link.streams();
     let Some(stream) = streams.get_mut(&head.stream) else { return Ok(()) };
--- a/crates/mustardpin-node/src/traffic/link/wire.rs
+++ b/crates/mustardpin-node/src/traffic/link/wire.rs
@@ -84,7 +84,7 @@
     /// Writes the hello frame. Its bytes are not part of the sender's byte offsets.
     pub(super) async fn send_hello(&mut self, hello: Hello) -> Result<(), Error> {
         let mut out = Vec::new();
-        frame::write(&mut out, &Head::Hello(hello), &[])?;
+        frame::encode(&mut out, &Head::Hello(hello), &[])?;
         self.stream.write_all(&out).await?;
         Ok(())
     }
@@ -102,7 +102,7 @@
 
     /// Takes the next complete frame from the read buffer.
     pub(super) fn take(&mut self) -> Result<Option<(Head, bytes::Bytes)>, Error> {
-        Ok(frame::take(&mut self.buffer)?)
+        Ok(frame::decode(&mut self.buffer)?)
     }
 
     /// Reads more bytes into the buffer.
--- a/crates/mustardpin-node/src/traffic/sender.rs
+++ b/crates/mustardpin-node/src/traffic/sender.rs
@@ -51,7 +51,7 @@
             return None;
         }
         let (start, queued_bytes) = (queue.total, queue.bytes.len());
-        frame::write(&mut queue.bytes, head, payload).ok()?;
+        frame::encode(&mut queue.bytes, head, payload).ok()?;
         queue.total += (queue.bytes.len() - queued_bytes) as u64;
         drop(queue);
         if queued_bytes == 0 {
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -308,7 +308,7 @@
         };
         let mut header_lines = Vec::with_capacity(256);
         let dialect = &self.exchanges.dialect;
-        scrub::copy(
+        scrub::copy_headers(
             &head.headers,
             |name, _| dialect.forwards_response_header(name),
             &mut header_lines,
@@ -400,7 +400,7 @@
                 Decoded::Data(bytes) => return Ok(Piece::Data(bytes)),
                 Decoded::Trailers(trailers) => {
                     let mut lines = Vec::new();
-                    scrub::copy(
+                    scrub::copy_headers(
                         &trailers,
                         |name, _| dialect.forwards_response_header(name),
                         &mut lines,
