--- a/src/client.rs
+++ b/src/client.rs
@@ -40,7 +40,7 @@
     /// The request could not be built.
     #[display("{_0}")]
     Http(hyper::http::Error),
-    /// The response is not JSON of the administration API, or the request body could not be encoded.
+    /// The response could not be decoded, or the request body not be encoded, as JSON.
     #[display("it is not an administration API: {_0}")]
     Json(serde_json::Error),
     /// No response within the time limit.
--- a/src/cmd/defaults.rs
+++ b/src/cmd/defaults.rs
@@ -100,7 +100,7 @@
         method: values.value("method", AnyOr(known.and_then(|route| route.method.clone())))?.0,
         importance: values
             .value("importance", known.map_or(Importance::default(), |route| route.importance))?,
-        // Requests of a route are non-repeatable until an operator declares that repeats do no harm.
+        // A route is non-repeatable until an operator declares that repeats do no harm.
         repeatable: values.value("repeatable", known.is_some_and(|route| route.repeatable))?,
         open: values.value("open", known.is_some_and(|route| route.open))?,
         timeout: values
--- a/tests/testsuite/command.rs
+++ b/tests/testsuite/command.rs
@@ -1,4 +1,4 @@
-//! The command by itself: help, exit codes and errors.
+//! Help texts, error messages and exit codes of the command, without a fleet.
 
 use std::{fmt::Write as _, process::Command};
 
@@ -11,7 +11,7 @@
     for stream in [&output.stdout, &output.stderr] {
         text += &String::from_utf8_lossy(stream);
     }
-    writeln!(text, "exit code {:?}\n", output.status.code()).expect("a string grows");
+    writeln!(text, "exit code {:?}\n", output.status.code()).expect("writing to a string succeeds");
     text
 }
 
@@ -25,8 +25,8 @@
 
 #[test]
 fn errors_and_exit_codes() {
-    let nowhere = ["--admin", "127.0.0.1:9", "--settings", "settings.example.yaml"];
-    let with_access = |words: &[&str]| run(&[words, &nowhere].concat());
+    let unreachable_node = ["--admin", "127.0.0.1:9", "--settings", "settings.example.yaml"];
+    let with_access = |words: &[&str]| run(&[words, &unreachable_node].concat());
     let text: String = [
         run(&["fly"]),
         run(&["node"]),
--- a/tests/testsuite/fleet.rs
+++ b/tests/testsuite/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet: the platform's stand-in, and nodes with their targets, as processes.
+//! Runs a small fleet as processes: the platform's stand-in, and nodes with their targets.
 
 use std::{
     fs,
@@ -28,69 +28,70 @@
 /// The operator credential of every test fleet.
 const CREDENTIAL: &str = "test-operator-credential";
 
-/// Lets requests wait for their team's tokens while the machine is busy with other tests.
-const PATIENT: &str = "rating:\n  patience: 2s\n  reply-within: 1s\n";
+/// Settings that let requests wait longer for their team's tokens, as the machine may be busy with
+/// other tests.
+const TOKEN_WAIT_SETTINGS: &str = "rating:\n  patience: 2s\n  reply-within: 1s\n";
 
-/// How long a fleet may take to be ready.
+/// How long to wait until a fleet is ready or a condition on a node's status holds.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A node in its slot, with its target.
+/// A node and its target.
 #[derive(Debug)]
 pub struct Slot {
-    /// Where callers reach the node.
+    /// The node's address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach the node.
+    /// The node's administration API.
     pub admin: SocketAddr,
-    /// Where the target listens.
+    /// The address that the target listens on.
     pub target: SocketAddr,
     /// The node process.
     pub node: Process,
     /// The target process.
     pub target_process: Process,
-    /// Relays on the ways to and from the node, if the plan wants them.
+    /// The relays on the node's connections, if the plan asks for them.
     pub relays: Option<Relays>,
     settings: PathBuf,
 }
 
-/// Relays on the ways to and from a node.
+/// Relays on the connections from a node to the store and from peers to the node.
 #[derive(Debug)]
 pub struct Relays {
-    /// From the node to the platform's stand-in.
+    /// Relay from the node to the platform's stand-in.
     pub store: Relay,
-    /// From peers to the node.
+    /// Relay from peers to the node.
     pub peers: Relay,
 }
 
-/// What a test wants of a slot.
+/// Configuration of a slot.
 #[derive(Debug, Clone)]
-pub struct Plan {
-    /// The data centre.
+pub struct SlotPlan {
+    /// Data centre of the node.
     pub data_centre: &'static str,
-    /// The service.
+    /// Service of the target.
     pub service: &'static str,
-    /// More arguments of the target.
+    /// Additional command-line arguments of the target.
     pub target: Vec<String>,
-    /// More lines of the node's settings.
+    /// Additional YAML lines of the node's settings.
     pub settings: String,
-    /// Whether relays stand on the ways to and from the node.
+    /// Whether the node's connections to the store and from peers pass through relays.
     pub is_relayed: bool,
 }
 
-/// A slot with nothing special.
-pub fn slot(data_centre: &'static str, service: &'static str) -> Plan {
+/// A slot with the default target and settings, and no relays.
+pub fn slot(data_centre: &'static str, service: &'static str) -> SlotPlan {
     let settings = String::new();
-    Plan { data_centre, service, target: Vec::new(), settings, is_relayed: false }
+    SlotPlan { data_centre, service, target: Vec::new(), settings, is_relayed: false }
 }
 
-impl Plan {
-    /// The same slot with more arguments of the target.
-    pub fn target(mut self, arguments: &[&str]) -> Plan {
+impl SlotPlan {
+    /// Adds command-line arguments of the target.
+    pub fn target(mut self, arguments: &[&str]) -> SlotPlan {
         self.target.extend(arguments.iter().map(|text| (*text).to_owned()));
         self
     }
 
-    /// The same slot with relays on the ways to and from its node.
-    pub fn relayed(mut self) -> Plan {
+    /// Adds relays to the store and from peers.
+    pub fn relayed(mut self) -> SlotPlan {
         self.is_relayed = true;
         self
     }
@@ -99,9 +100,9 @@
 /// A running fleet.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The slots, in the order of their plans.
+    /// One slot for each plan, in the same order.
     pub slots: Vec<Slot>,
-    /// The platform's stand-in.
+    /// Address of the platform's stand-in.
     pub platform: SocketAddr,
     platform_process: Process,
     directory: PathBuf,
@@ -109,31 +110,32 @@
     caller: Caller,
 }
 
-/// What came back from a request.
+/// The response to a [`CallerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reply {
-    /// The HTTP status; 0 if the connection broke or none could be made.
+pub struct CallerResponse {
+    /// The HTTP status; 0 if the connection could not be opened or broke.
     pub status: u16,
-    /// The outcome that the system gave.
+    /// The value of `mustardpin-outcome`; empty if the header is absent.
     pub outcome: String,
-    /// The reason that the system gave.
+    /// The value of `mustardpin-reason`; empty if the header is absent.
     pub reason: String,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Fleet {
-    /// Starts a fleet with the routes and the team that the tests use.
-    pub async fn start(plans: &[Plan]) -> Fleet {
+    /// Starts a fleet, configures the tests' routes and team, and waits until they are in force.
+    pub async fn start(plans: &[SlotPlan]) -> Fleet {
         let platform = free_address();
         Fleet::start_with_platform(plans, platform, platform).await
     }
 
-    /// The same, with nodes that reach the platform's stand-in through another address.
+    /// Starts a fleet whose nodes connect to the platform's stand-in through another address, such
+    /// as that of a relay.
     pub async fn start_with_platform(
-        plans: &[Plan],
+        plans: &[SlotPlan],
         platform: SocketAddr,
-        seen: SocketAddr,
+        platform_for_nodes: SocketAddr,
     ) -> Fleet {
         let directory = scratch_directory();
         let mut command = Command::new(program("platform-standin"));
@@ -148,7 +150,7 @@
             caller: http::caller(false),
         };
         for plan in plans {
-            let slot = fleet.start_slot(plan, seen).await;
+            let slot = fleet.start_slot(plan, platform_for_nodes).await;
             fleet.slots.push(slot);
         }
         fleet.wait_until_ready().await;
@@ -157,7 +159,7 @@
         fleet
     }
 
-    async fn start_slot(&self, plan: &Plan, platform: SocketAddr) -> Slot {
+    async fn start_slot(&self, plan: &SlotPlan, platform: SocketAddr) -> Slot {
         let name = format!("{}-{}-{}", plan.data_centre, plan.service, self.slots.len());
         let [callers, local, peers, admin, target] = std::array::from_fn(|_| free_address());
         let relays = match plan.is_relayed {
@@ -170,13 +172,13 @@
         let platform = relays.as_ref().map_or(platform, |relays| relays.store.address());
         let announced = relays.as_ref().map_or(peers, |relays| relays.peers.address());
         let settings = self.directory.join(format!("{name}.yaml"));
-        let seeds: Vec<_> = self.slots.iter().map(|slot| slot.peers_of()).collect();
+        let seeds: Vec<_> = self.slots.iter().map(|slot| slot.announced_address()).collect();
         let yaml = format!(
             "name: {name}\ndata-centre: {}\nservice: {}\naddresses:\n  callers: {callers}\n  \
              local: {local}\n  peers: {peers}\n  \
              announced: {announced}\n  admin: {admin}\n\
              fleet-credential: test-fleet-credential\noperator-credential: {CREDENTIAL}\n\
-             platform:\n  address: {platform}\n  timeout: 1s\nseeds: [{}]\n{PATIENT}{}",
+             platform:\n  address: {platform}\n  timeout: 1s\nseeds: [{}]\n{TOKEN_WAIT_SETTINGS}{}",
             plan.data_centre,
             plan.service,
             seeds.join(", "),
@@ -194,13 +196,13 @@
         Slot { callers, admin, target, node, target_process, relays, settings }
     }
 
-    /// Runs the command with access to the nodes of these slots.
-    pub fn command(&self, slots: &[usize], arguments: &[&str]) -> Output {
-        output(&mut self.prepare(slots, arguments))
+    /// Runs the `mustardpin` command with the administration APIs of these slots.
+    pub fn run_command(&self, slots: &[usize], arguments: &[&str]) -> Output {
+        output(&mut self.build_command(slots, arguments))
     }
 
-    /// The command with access to the nodes of these slots, not run yet.
-    pub fn prepare(&self, slots: &[usize], arguments: &[&str]) -> Command {
+    /// Builds the `mustardpin` command with the administration APIs of these slots.
+    pub fn build_command(&self, slots: &[usize], arguments: &[&str]) -> Command {
         let mut command = Command::new(program("mustardpin"));
         command.args(arguments).env("MUSTARDPIN_OPERATOR_CREDENTIAL", CREDENTIAL);
         for &slot in slots {
@@ -209,23 +211,23 @@
         command
     }
 
-    /// Runs the command, which has to succeed, and gives what it printed.
-    pub fn operate(&self, arguments: &[&str]) -> String {
+    /// Runs the `mustardpin` command, asserts that it succeeds, and returns its standard output.
+    pub fn run_successfully(&self, arguments: &[&str]) -> String {
         let all: Vec<_> = (0..self.slots.len()).collect();
-        let output = self.command(&all, arguments);
+        let output = self.run_command(&all, arguments);
         let errors = String::from_utf8_lossy(&output.stderr);
         assert!(output.status.success(), "{arguments:?}: {errors}");
         String::from_utf8_lossy(&output.stdout).trim().to_owned()
     }
 
-    /// Issues a key of the team that the tests use.
+    /// Issues a key of the tests' team, and waits until it is in force.
     pub async fn issue_key(&self, id: &str) -> String {
-        let key = self.operate(&["keys", "issue", "garages", "--id", id]);
+        let key = self.run_successfully(&["keys", "issue", "garages", "--id", id]);
         self.wait_until_in_force().await;
         key
     }
 
-    /// Changes how the platform's stand-in behaves.
+    /// Sets the failure mode of the platform's stand-in and the delay of its slow mode.
     pub async fn set_platform(&self, mode: &str, delay: Duration) {
         let mode = json!({ "mode": mode, "delay-ms": delay.as_millis() as u64 });
         let path = "/standin/mode";
@@ -234,7 +236,7 @@
         set.expect("the platform's stand-in runs");
     }
 
-    /// Lets the platform's stand-in forget its history.
+    /// Makes the platform's stand-in compact its history.
     pub async fn compact_platform(&self) {
         let path = "/standin/compact";
         let request = Request::post(format!("http://{}{path}", self.platform));
@@ -242,19 +244,19 @@
         self.caller.request(request).await.expect("the platform's stand-in runs");
     }
 
-    /// Keeps the logs of all processes after the test, and tells where they are.
+    /// Keeps the logs of all processes after the test, and returns their directory.
     pub fn keep_directory(&mut self) -> &std::path::Path {
         self.keeps_directory = true;
         &self.directory
     }
 
-    /// Where the processes' logs and settings are, and what a test puts there.
+    /// The scratch directory, with the logs and settings of the processes.
     pub fn directory(&self) -> &std::path::Path {
         &self.directory
     }
 
-    /// Everything that the targets ran.
-    pub async fn ran(&self) -> Vec<Run> {
+    /// The runs that all targets report.
+    pub async fn target_runs(&self) -> Vec<Run> {
         let mut runs = Vec::new();
         for slot in &self.slots {
             let report = inspect::report(&self.caller, slot.target).await;
@@ -263,7 +265,7 @@
         runs
     }
 
-    /// The state of a node.
+    /// The status of a node; `None` if it does not respond.
     pub async fn status(&self, slot: usize) -> Option<Status> {
         let request = Request::builder()
             .uri(format!("http://{}/admin/status", self.slots[slot].admin))
@@ -275,8 +277,8 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Waits until a condition on a node's state holds.
-    pub async fn wait_for(&self, slot: usize, what: &str, holds: impl Fn(&Status) -> bool) {
+    /// Waits until a condition on a node's status holds; panics after [`READY_TIMEOUT`].
+    pub async fn wait_for(&self, slot: usize, description: &str, holds: impl Fn(&Status) -> bool) {
         let started = Instant::now();
         let mut last = None;
         while started.elapsed() < READY_TIMEOUT {
@@ -286,18 +288,18 @@
             }
             tokio::time::sleep(Duration::from_millis(30)).await;
         }
-        panic!("slot {slot}: {what} does not come true: {last:#?}\n{}", self.logs());
+        panic!("slot {slot}: timed out waiting until {description}: {last:#?}\n{}", self.logs());
     }
 
-    /// Starts the node of a slot again, after it has ended. Its target has stayed.
+    /// Starts the node of a slot again after it has exited. The target has kept running.
     pub fn restart(&mut self, slot: usize) {
         let name = format!("{slot}-again");
         self.slots[slot].node = start_node(&self.slots[slot].settings, &self.directory, &name);
     }
 
-    /// The last lines that every process wrote.
+    /// The last five lines of every process's log, latest first.
     pub fn logs(&self) -> String {
-        let files = fs::read_dir(&self.directory).expect("the scratch directory is there");
+        let files = fs::read_dir(&self.directory).expect("the scratch directory exists");
         let mut text = String::new();
         for file in files.flatten() {
             let log = fs::read_to_string(file.path()).unwrap_or_default();
@@ -311,17 +313,17 @@
         let nodes = self.slots.len();
         for slot in 0..nodes {
             self.wait_for(slot, "the fleet is ready", |status| {
-                let reached = status.peers.iter().filter(|peer| peer.link == "up");
+                let connected = status.peers.iter().filter(|peer| peer.link == "up");
                 status.target.present
                     && status.view.fresh
                     && status.view.members as usize == nodes
-                    && reached.count() + 1 == nodes
+                    && connected.count() + 1 == nodes
             })
             .await;
         }
     }
 
-    /// Waits until every node is at the latest revision of any.
+    /// Waits until every node has reached the latest revision that any node has.
     pub async fn wait_until_in_force(&self) {
         let mut revisions = Vec::new();
         for slot in 0..self.slots.len() {
@@ -342,9 +344,9 @@
         for route in [search, ledger, book, help] {
             let words: Vec<_> =
                 ["defaults", "set", "route"].into_iter().chain(route.split(' ')).collect();
-            self.operate(&words);
+            self.run_successfully(&words);
         }
-        self.operate(&["defaults", "set", "team", "garages", "rate=2000", "burst=2000"]);
+        self.run_successfully(&["defaults", "set", "team", "garages", "rate=2000", "burst=2000"]);
     }
 }
 
@@ -355,16 +357,16 @@
             eprintln!("{}", self.logs());
         }
         if !self.keeps_directory {
-            let _left_behind = fs::remove_dir_all(&self.directory);
+            let _remove_result = fs::remove_dir_all(&self.directory);
         }
     }
 }
 
 impl Slot {
-    fn peers_of(&self) -> String {
-        let settings = fs::read_to_string(&self.settings).expect("the settings are there");
+    fn announced_address(&self) -> String {
+        let settings = fs::read_to_string(&self.settings).expect("the settings file exists");
         let line = settings.lines().find_map(|line| line.trim().strip_prefix("announced: "));
-        line.expect("the settings name it").to_owned()
+        line.expect("the settings contain the announced address").to_owned()
     }
 }
 
@@ -379,37 +381,37 @@
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let name = format!("mustardpin-test-{}-{number}", std::process::id());
     let directory = std::env::temp_dir().join(name);
-    fs::create_dir_all(&directory).expect("a scratch directory");
+    fs::create_dir_all(&directory).expect("the scratch directory can be created");
     directory
 }
 
-/// A request of a caller.
+/// A request that a caller sends to a node.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct CallerRequest<'a> {
     /// The HTTP method.
     pub method: &'a str,
     /// The path with its query.
     pub path: &'a str,
-    /// The tenant key.
+    /// The tenant key, if any.
     pub key: Option<&'a str>,
-    /// The idempotency key.
+    /// The idempotency key, if any.
     pub idempotency_key: Option<&'a str>,
 }
 
-impl<'a> Ask<'a> {
-    /// A repeatable request.
-    pub fn get(path: &'a str, key: &'a str) -> Ask<'a> {
-        Ask { method: "GET", path, key: Some(key), idempotency_key: None }
+impl<'a> CallerRequest<'a> {
+    /// A GET request, which is repeatable on the tests' routes.
+    pub fn get(path: &'a str, key: &'a str) -> CallerRequest<'a> {
+        CallerRequest { method: "GET", path, key: Some(key), idempotency_key: None }
     }
 
-    /// A non-repeatable request.
-    pub fn book(key: &'a str, idempotency_key: &'a str) -> Ask<'a> {
+    /// A booking, which is non-repeatable.
+    pub fn book(key: &'a str, idempotency_key: &'a str) -> CallerRequest<'a> {
         let idempotency_key = Some(idempotency_key);
-        Ask { method: "POST", path: "/bookings", key: Some(key), idempotency_key }
+        CallerRequest { method: "POST", path: "/bookings", key: Some(key), idempotency_key }
     }
 
-    /// Sends it and waits for the whole answer.
-    pub async fn send(&self, caller: &Caller, address: SocketAddr) -> Reply {
+    /// Sends the request and waits for the complete response.
+    pub async fn send(&self, caller: &Caller, address: SocketAddr) -> CallerResponse {
         let mut builder =
             Request::builder().method(self.method).uri(format!("http://{address}{}", self.path));
         if let Some(key) = self.key {
@@ -419,19 +421,23 @@
             builder = builder.header("idempotency-key", key);
         }
         let request = builder.body(Full::default()).expect("a well-formed request");
-        let broken =
-            Reply { status: 0, outcome: String::new(), reason: String::new(), body: Bytes::new() };
-        let Ok(response) = caller.request(request).await else { return broken };
+        let failed = CallerResponse {
+            status: 0,
+            outcome: String::new(),
+            reason: String::new(),
+            body: Bytes::new(),
+        };
+        let Ok(response) = caller.request(request).await else { return failed };
         let (parts, body) = response.into_parts();
-        let Ok(body) = body.collect().await else { return broken };
-        let text = |name| {
+        let Ok(body) = body.collect().await else { return failed };
+        let header_text = |name| {
             let value = parts.headers.get(name).and_then(|value| value.to_str().ok());
             value.unwrap_or_default().to_owned()
         };
-        Reply {
+        CallerResponse {
             status: parts.status.as_u16(),
-            outcome: text("mustardpin-outcome"),
-            reason: text("mustardpin-reason"),
+            outcome: header_text("mustardpin-outcome"),
+            reason: header_text("mustardpin-reason"),
             body: body.to_bytes(),
         }
     }
--- a/tests/testsuite/keys.rs
+++ b/tests/testsuite/keys.rs
@@ -1,4 +1,4 @@
-//! A withdrawn key stops working within 3 s, on open connections and for queued requests.
+//! A withdrawn key is refused within 3 s, on open connections and for queued requests.
 
 use std::{
     sync::Arc,
@@ -7,10 +7,10 @@
 
 use mustardpin_standin::{http, load::inspect};
 
-use crate::fleet::{Ask, Fleet, Reply, slot};
+use crate::fleet::{CallerRequest, CallerResponse, Fleet, slot};
 
-/// How long a withdrawn key may go on working.
-const TARGET: Duration = Duration::from_secs(3);
+/// The time after which a withdrawn key must be refused everywhere.
+const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn withdrawn_on_open_connections() {
@@ -24,23 +24,23 @@
         .flat_map(|slot| [false, true].map(|http2| (slot.callers, http::caller(http2))))
         .collect();
     for (address, caller) in &callers {
-        let reply = Ask::get("/slots", &key).send(caller, *address).await;
-        assert_eq!((reply.status, reply.reason.as_str()), (200, ""), "{}", fleet.logs());
+        let response = CallerRequest::get("/slots", &key).send(caller, *address).await;
+        assert_eq!((response.status, response.reason.as_str()), (200, ""), "{}", fleet.logs());
     }
 
     let started = Instant::now();
-    let shown = fleet.operate(&["keys", "withdraw", "garage-1"]);
-    assert!(shown.contains("in force"), "{shown}");
-    tokio::time::sleep(TARGET.saturating_sub(started.elapsed())).await;
+    let output = fleet.run_successfully(&["keys", "withdraw", "garage-1"]);
+    assert!(output.contains("in force"), "{output}");
+    tokio::time::sleep(WITHDRAWAL_TIMEOUT.saturating_sub(started.elapsed())).await;
 
     for (address, caller) in &callers {
-        let reply = Ask::get("/slots", &key).send(caller, *address).await;
-        let found = (reply.status, reply.reason.as_str(), reply.outcome.as_str());
+        let response = CallerRequest::get("/slots", &key).send(caller, *address).await;
+        let found = (response.status, response.reason.as_str(), response.outcome.as_str());
         assert_eq!(found, (401, "key_withdrawn", "not-run"));
-        let reply = Ask::get("/slots", &other_key).send(caller, *address).await;
-        assert_eq!(reply.status, 200, "another key of the team goes on");
+        let response = CallerRequest::get("/slots", &other_key).send(caller, *address).await;
+        assert_eq!(response.status, 200, "another key of the team is still accepted");
     }
-    assert_eq!(inspect::keys_seen(&fleet.ran().await, &[&key, &other_key]), 0);
+    assert_eq!(inspect::keys_seen(&fleet.target_runs().await, &[&key, &other_key]), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -51,19 +51,19 @@
     let fleet = Arc::new(Fleet::start(&[plan]).await);
     let key = fleet.issue_key("garage-1").await;
     let address = fleet.slots[0].callers;
-    let ask = move |path: &'static str, key: String| async move {
-        Ask::get(path, &key).send(&http::caller(false), address).await
+    let send_request = move |path: &'static str, key: String| async move {
+        CallerRequest::get(path, &key).send(&http::caller(false), address).await
     };
-    let running = tokio::spawn(ask("/slots/first", key.clone()));
+    let running = tokio::spawn(send_request("/slots/first", key.clone()));
     fleet.wait_for(0, "the first request runs", |status| status.target.running == 1).await;
-    let queued = tokio::spawn(ask("/slots/second", key));
+    let queued = tokio::spawn(send_request("/slots/second", key));
     fleet.wait_for(0, "the second request waits", |status| status.target.queued == 1).await;
-    fleet.operate(&["keys", "withdraw", "garage-1"]);
+    fleet.run_successfully(&["keys", "withdraw", "garage-1"]);
 
-    let Reply { status, reason, outcome, .. } = queued.await.expect("the task ends");
+    let CallerResponse { status, reason, outcome, .. } = queued.await.expect("the task ends");
     let found = (status, reason.as_str(), outcome.as_str());
     assert_eq!(found, (401, "key_withdrawn", "not-run"));
     running.await.expect("the task ends");
-    let paths: Vec<_> = fleet.ran().await.into_iter().map(|run| run.path).collect();
+    let paths: Vec<_> = fleet.target_runs().await.into_iter().map(|run| run.path).collect();
     assert_eq!(paths, ["/slots/first"]);
 }
--- a/tests/testsuite/kill.rs
+++ b/tests/testsuite/kill.rs
@@ -1,18 +1,19 @@
-//! A non-repeatable request runs at most once for each sending, also when a node is killed while it
-//! runs, and "not-run" is true. So a caller that sends again only then runs it once.
+//! A node is killed while non-repeatable requests run. Each request that a caller sends must still
+//! run at most once, and the outcome `not-run` must not be reported for one that ran, so that a
+//! caller that retries only after `not-run` never runs its request twice.
 
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
 use mustardpin_standin::{http, load::inspect};
 
-use crate::fleet::{Ask, Fleet, Reply, slot};
+use crate::fleet::{CallerRequest, CallerResponse, Fleet, slot};
 
-/// How long callers send again.
-const RESEND_TIME: Duration = Duration::from_secs(5);
+/// How long callers retry.
+const RESEND_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn resends_to_other_nodes() {
+async fn bookings_run_at_most_once_when_a_node_is_killed() {
     let slow = ["--service-time-ms", "400", "--distribution", "constant"];
     let plan = |data_centre| slot(data_centre, "ledger").target(&slow);
     let mut fleet = Fleet::start(&[plan("north"), plan("south"), plan("south")]).await;
@@ -25,28 +26,28 @@
     fleet.slots[1].node.kill();
     let results = join_all(bookings).await;
 
-    let runs = fleet.ran().await;
+    let runs = fleet.target_runs().await;
     assert_eq!(inspect::run_twice(&runs), Vec::<String>::new());
     assert_eq!(inspect::keys_seen(&runs, &[&key]), 0);
-    for (number, reply) in results.into_iter().enumerate() {
-        let Reply { status, outcome, .. } = reply.expect("the task ends");
+    for (number, response) in results.into_iter().enumerate() {
+        let CallerResponse { status, outcome, .. } = response.expect("the task ends");
         let name = format!("booking-{number}");
         let ran = runs.iter().any(|run| run.idempotency_key.as_deref() == Some(&name));
-        assert!(status != 200 || ran, "{name} was answered, but never ran");
-        assert!(outcome != "not-run" || !ran, "{name} ran in spite of `not-run`");
+        assert!(status != 200 || ran, "{name} got status 200, but never ran");
+        assert!(outcome != "not-run" || !ran, "{name} ran although the outcome was `not-run`");
     }
 }
 
-/// Sends a booking to one node after the other, for as long as it has not run.
-async fn book(number: usize, key: String, addresses: Vec<std::net::SocketAddr>) -> Reply {
+/// Sends a booking to one node after the other until the outcome is no longer `not-run`.
+async fn book(number: usize, key: String, addresses: Vec<std::net::SocketAddr>) -> CallerResponse {
     let name = format!("booking-{number}");
     let started = Instant::now();
     let mut attempt = number;
     loop {
         let address = addresses[attempt % addresses.len()];
-        let reply = Ask::book(&key, &name).send(&http::caller(false), address).await;
-        if reply.outcome != "not-run" || started.elapsed() > RESEND_TIME {
-            return reply;
+        let response = CallerRequest::book(&key, &name).send(&http::caller(false), address).await;
+        if response.outcome != "not-run" || started.elapsed() > RESEND_TIMEOUT {
+            return response;
         }
         attempt += 1;
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole product as separate processes on loopback, a module per feature.
+//! End-to-end tests of all programs as separate processes on loopback, one module per feature.
 
 mod command;
 mod fleet;
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -1,17 +1,17 @@
-//! Operators racing, and changes that are not allowed.
+//! Concurrent, repeated and rejected changes of operators.
 
 use std::thread;
 
 use crate::fleet::{Fleet, slot};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_wins_and_the_other_is_told_what_changed() {
+async fn one_of_two_concurrent_changes_conflicts() {
     let fleet = Fleet::start(&[slot("north", "search"), slot("south", "search")]).await;
     let revision = fleet.status(0).await.expect("the node answers").view.revision.to_string();
     let change = |slot: usize, rate: &str| {
         let rate = format!("rate={rate}");
         let words = ["defaults", "set", "team", "garages", &rate, "--expected", &revision];
-        let output = fleet.command(&[slot], &words);
+        let output = fleet.run_command(&[slot], &words);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
     let mut results = thread::scope(|scope| {
@@ -26,19 +26,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_change_sent_again_is_accepted_once() {
+async fn a_retried_change_is_accepted_once() {
     let fleet = Fleet::start(&[slot("north", "search"), slot("south", "search")]).await;
     let revision = fleet.status(0).await.expect("the node answers").view.revision.to_string();
     let words = ["defaults", "set", "team", "garages", "rate=111", "--expected", &revision];
     let again = [&words[..], &["--change-id", "rate-of-garages"]].concat();
-    let first = fleet.operate(&again);
+    let first = fleet.run_successfully(&again);
     fleet.wait_until_in_force().await;
-    let second = fleet.operate(&again);
+    let second = fleet.run_successfully(&again);
     assert_eq!(first, second);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_that_are_not_allowed() {
+async fn invalid_changes_are_rejected() {
     let fleet = Fleet::start(&[slot("north", "search")]).await;
     let cases: &[(&[&str], i32, &str)] = &[
         (&["keys", "issue", "nobody"], 4, "team/nobody"),
@@ -50,7 +50,7 @@
         (&["exceptions", "add", "easter", "team-rate", "team=garages"], 2, "reason"),
     ];
     for (words, code, named) in cases {
-        let output = fleet.command(&[0], words);
+        let output = fleet.run_command(&[0], words);
         let message = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(*code), "{words:?}: {message}");
         assert!(message.contains(named), "{words:?}: {message}");
@@ -58,19 +58,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawal_does_not_lose_to_other_changes() {
+async fn a_withdrawal_succeeds_despite_concurrent_changes() {
     let fleet = Fleet::start(&[slot("north", "search"), slot("south", "search")]).await;
     fleet.issue_key("garage-1").await;
     let change = |rate: u32| {
         let rate = format!("rate={rate}");
-        fleet.command(&[1], &["defaults", "set", "team", "garages", &rate]).status.code()
+        fleet.run_command(&[1], &["defaults", "set", "team", "garages", &rate]).status.code()
     };
     thread::scope(|scope| {
         let others = scope.spawn(|| (1_000..1_020).map(change).collect::<Vec<_>>());
-        fleet.operate(&["keys", "withdraw", "garage-1"]);
+        fleet.run_successfully(&["keys", "withdraw", "garage-1"]);
         let codes = others.join().expect("the command runs");
         assert!(codes.iter().all(|code| matches!(code, Some(0 | 3))), "{codes:?}");
     });
-    let listed = fleet.operate(&["keys", "list"]);
+    let listed = fleet.run_successfully(&["keys", "list"]);
     assert!(listed.contains("withdrawn"), "{listed}");
 }
--- a/tests/testsuite/pages.rs
+++ b/tests/testsuite/pages.rs
@@ -1,4 +1,4 @@
-//! The pages name every setting, reason and counter, and their commands run.
+//! The pages list every setting, reason and counter, and the commands on them run.
 
 use std::process::Command;
 
@@ -17,7 +17,7 @@
 const EXAMPLE: &str = include_str!("../../settings.example.yaml");
 
 #[test]
-fn callers_find_every_reason() {
+fn callers_page_lists_every_reason() {
     let missing: Vec<_> = Reason::ALL
         .iter()
         .filter(|reason| {
@@ -25,7 +25,7 @@
             let listed = CALLERS.lines().find(|line| line.starts_with(&row));
             let name = format!("`{reason}`");
             let in_row = listed.is_some_and(|line| line.contains(&name));
-            // A status that callers never see is explained in the text.
+            // Status 499 never reaches a caller, so the text explains it in place of the table.
             let in_text = reason.status() == 499 && CALLERS.contains(&name);
             !in_row && !in_text
         })
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn operators_find_every_counter() {
+fn operations_page_lists_every_counter() {
     let refusals = Reason::ALL.iter().map(|reason| format!("| `{reason}` |"));
     let retries = Retry::ALL.iter().map(|retry| format!("| `{retry}` |"));
     let work = Work::ALL.iter().map(|work| format!("| `{work}` |"));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn operators_find_every_setting() {
+fn operations_page_lists_every_setting() {
     let mut section = "";
     let mut missing = Vec::new();
     for line in EXAMPLE.lines() {
@@ -65,8 +65,8 @@
     assert!(missing.is_empty(), "docs/OPERATIONS.md does not list {missing:?}");
 }
 
-/// The words of a line, as a shell splits it.
-fn split(line: &str) -> Vec<String> {
+/// Splits a line into words like a shell, with single quotes only.
+fn split_words(line: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut quoted = false;
     for character in line.chars() {
@@ -79,18 +79,19 @@
     words
 }
 
-/// Runs every command of the operators' page, in its order, against a fleet. What starts a node
-/// or reads a node's settings is run by the tests' own fleet.
+/// Runs the commands of the operators' page, in its order, against a fleet. Commands with
+/// `--settings` or `--admin` are left out, as the fleet itself starts the nodes and names their
+/// addresses; the check of the example settings runs at the end.
 #[tokio::test(flavor = "multi_thread")]
-async fn commands_of_the_operators_page_run() {
+async fn commands_of_the_operations_page_run() {
     let fleet =
         Fleet::start(&[slot("north", "slot-search"), slot("south", "booking-ledger")]).await;
     let lines = OPERATIONS.lines().filter_map(|line| line.strip_prefix("    mustardpin "));
     let mut ran = 0;
     for line in lines.filter(|line| !line.contains("--settings") && !line.contains("--admin")) {
-        let words = split(line);
+        let words = split_words(line);
         let words: Vec<_> = words.iter().map(String::as_str).collect();
-        fleet.operate(&words);
+        fleet.run_successfully(&words);
         fleet.wait_until_in_force().await;
         ran += 1;
     }
--- a/tests/testsuite/process.rs
+++ b/tests/testsuite/process.rs
@@ -1,4 +1,4 @@
-//! Processes that end with the test that started them.
+//! Child processes that are killed when the test that started them ends, and free ports for them.
 
 use std::{
     fs::File,
@@ -9,29 +9,35 @@
     time::{Duration, Instant},
 };
 
-/// Ports below those that the machine gives to outgoing connections, in blocks.
+/// First port of the first block. All blocks are below the ephemeral ports that the machine gives
+/// to outgoing connections.
 const FIRST_PORT: u16 = 10_000;
+/// Ports of a block.
 const BLOCK_SIZE: u16 = 50;
-const BLOCKS: u16 = 400;
+/// Number of blocks.
+const BLOCK_COUNT: u16 = 400;
 
-/// How long a process may take to end.
-const END_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a process may take to exit.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Held while a port is tried out and while a process is started: a process that is forked in
-/// between holds the tried port's socket until it runs its own program.
-static NO_FORK: Mutex<()> = Mutex::new(());
+/// Held while a port is tested and while a process is started. A process that is forked while the
+/// test socket is open inherits it and keeps the port in use until it executes its own program.
+static FORK_LOCK: Mutex<()> = Mutex::new(());
 
-/// Ports that belong to this run: it holds the first one of the block.
-struct Block {
+/// A block of ports that this run owns while it listens on the first port of the block.
+struct PortBlock {
+    /// Listens on the first port, so that no other run claims the block.
     guard: TcpListener,
+    /// Ports of the block that were given out or found in use.
     used: u16,
 }
 
-/// A free port of the loopback interface, given once in this run and to no other run.
+/// Returns a free loopback address. No two calls return the same one, in this run or a concurrent
+/// one.
 pub fn free_address() -> SocketAddr {
-    static BLOCKS: Mutex<Vec<Block>> = Mutex::new(Vec::new());
+    static BLOCKS: Mutex<Vec<PortBlock>> = Mutex::new(Vec::new());
     let mut blocks = BLOCKS.lock().unwrap_or_else(PoisonError::into_inner);
-    let _no_fork = NO_FORK.lock().unwrap_or_else(PoisonError::into_inner);
+    let _fork_guard = FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     loop {
         if blocks.last().is_none_or(|block| block.used + 1 == BLOCK_SIZE) {
             blocks.push(claim_block());
@@ -46,28 +52,29 @@
     }
 }
 
-/// Runs a command to its end.
+/// Runs a command until it exits and captures its output.
 pub fn output(command: &mut Command) -> Output {
     let child = spawn(command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()));
     child.wait_with_output().expect("the command runs")
 }
 
 fn spawn(command: &mut Command) -> Child {
-    let _no_fork = NO_FORK.lock().unwrap_or_else(PoisonError::into_inner);
-    command.spawn().expect("the program is there")
+    let _fork_guard = FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    command.spawn().expect("the program can be started")
 }
 
-/// Claims a block that no other run holds. Runs start to look at different places.
-fn claim_block() -> Block {
-    let first = std::process::id() as u16 % BLOCKS;
-    let mut blocks = (first..BLOCKS).chain(0..first);
+/// Claims a block that no other run owns. The search starts at a block derived from the process id,
+/// so that concurrent runs seldom try the same one.
+fn claim_block() -> PortBlock {
+    let first = std::process::id() as u16 % BLOCK_COUNT;
+    let mut blocks = (first..BLOCK_COUNT).chain(0..first);
     let guard = blocks.find_map(|block| {
         TcpListener::bind((Ipv4Addr::LOCALHOST, FIRST_PORT + block * BLOCK_SIZE)).ok()
     });
-    Block { guard: guard.expect("a block of ports is free"), used: 0 }
+    PortBlock { guard: guard.expect("a block of ports is free"), used: 0 }
 }
 
-/// The program of this name beside the command.
+/// Path of the program of this name in the directory of the `mustardpin` binary.
 pub fn program(name: &str) -> PathBuf {
     Path::new(env!("CARGO_BIN_EXE_mustardpin")).with_file_name(name)
 }
@@ -80,7 +87,7 @@
 }
 
 impl Process {
-    /// Starts a command; its output goes to a file of this name.
+    /// Starts a command and writes its output to `NAME.log` in the directory.
     pub fn start(command: &mut Command, directory: &Path, name: &str) -> Process {
         let log = File::create(directory.join(format!("{name}.log"))).expect("a log file");
         let errors = log.try_clone().expect("a second handle of the log file");
@@ -88,35 +95,43 @@
         Process { child, name: name.to_owned() }
     }
 
-    /// Sends it a signal such as `TERM` or `STOP`.
+    /// Sends the process a signal such as `TERM` or `STOP`.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let status = spawn(Command::new("kill").args([&format!("-{signal}"), &pid])).wait();
-        assert!(status.expect("kill runs").success(), "{} is running", self.name);
+        assert!(
+            status.expect("kill runs").success(),
+            "cannot send a signal to {}; is it running?",
+            self.name
+        );
     }
 
-    /// Waits until it ends by itself.
+    /// Waits until the process exits; panics after [`EXIT_TIMEOUT`].
     pub fn wait(&mut self) -> ExitStatus {
         let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("the process is ours") {
                 return status;
             }
-            assert!(started.elapsed() < END_TIMEOUT, "{} does not end", self.name);
+            assert!(
+                started.elapsed() < EXIT_TIMEOUT,
+                "timed out waiting until {} exits",
+                self.name
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().expect("the process is ours").is_some()
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for it.
     pub fn kill(&mut self) {
-        // It may have ended by itself.
-        let _ended = self.child.kill();
-        let _ended = self.child.wait();
+        // Fails if the process has exited already.
+        let _result = self.child.kill();
+        let _result = self.child.wait();
     }
 }
 
--- a/tests/testsuite/relay.rs
+++ b/tests/testsuite/relay.rs
@@ -1,4 +1,4 @@
-//! A relay of TCP connections that a test can cut, slow down or silence.
+//! A TCP relay that can close connections, delay bytes or discard them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,26 +11,26 @@
     sync::watch,
 };
 
-/// Bytes that are read at once.
-const CHUNK: usize = 16 * 1024;
+/// Maximum number of bytes read at once.
+const CHUNK_SIZE: usize = 16 * 1024;
 
-/// What a relay does with bytes.
+/// How a relay treats its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Passes them on.
+    /// Forwards all bytes.
     Whole,
-    /// Passes them on later, each way.
+    /// Forwards all bytes in both directions after this delay.
     Delayed(Duration),
-    /// Closes all connections, and new ones at once.
+    /// Closes all connections, and new ones as soon as they are accepted.
     Cut,
-    /// Passes nothing on, in connections that stay open and silent for good. New ones are silent
-    /// too.
+    /// Discards all bytes, on new connections too. A connection on which bytes were discarded stays
+    /// open and forwards nothing more, whatever the mode becomes.
     Silent,
-    /// The same for bytes on the way back only.
+    /// As [`Mode::Silent`], for bytes from the server to the client only.
     SilentBack,
 }
 
-/// Passes bytes on to one address.
+/// A relay that forwards connections to one address.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -38,62 +38,63 @@
 }
 
 impl Relay {
-    /// Starts a relay to an address.
+    /// Starts a relay to an address, in the mode [`Mode::Whole`].
     pub async fn start(to: SocketAddr) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("a bound address");
-        let (mode, watched) = watch::channel(Mode::Whole);
+        let (mode, mode_receiver) = watch::channel(Mode::Whole);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass(stream, to, watched.clone()));
+                tokio::spawn(relay_connection(stream, to, mode_receiver.clone()));
             }
         });
         Relay { address, mode }
     }
 
-    /// Where the relay listens.
+    /// The address that the relay listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what the relay does.
+    /// Sets the mode of all connections.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
-async fn pass(stream: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
+async fn relay_connection(stream: TcpStream, to: SocketAddr, mut mode: watch::Receiver<Mode>) {
     if *mode.borrow() == Mode::Cut {
         return;
     }
-    let Ok(other) = TcpStream::connect(to).await else { return };
-    let (from_caller, to_caller) = stream.into_split();
-    let (from_server, to_server) = other.into_split();
-    let there = pump(from_caller, to_server, mode.clone(), |mode| mode == Mode::Silent);
-    let back = pump(from_server, to_caller, mode.clone(), |mode| {
+    let Ok(server) = TcpStream::connect(to).await else { return };
+    let (from_client, to_client) = stream.into_split();
+    let (from_server, to_server) = server.into_split();
+    let requests = forward(from_client, to_server, mode.clone(), |mode| mode == Mode::Silent);
+    let replies = forward(from_server, to_client, mode.clone(), |mode| {
         matches!(mode, Mode::Silent | Mode::SilentBack)
     });
     tokio::select! {
-        _ = there => {}
-        _ = back => {}
+        _ = requests => {}
+        _ = replies => {}
         _ = mode.wait_for(|mode| *mode == Mode::Cut) => {}
     }
 }
 
-/// Moves bytes one way until either side ends.
-async fn pump(
+/// Forwards bytes in one direction until either side closes. Once the mode requires it, discards
+/// all bytes that follow.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mode: watch::Receiver<Mode>,
-    is_silent: impl Fn(Mode) -> bool,
+    discards: impl Fn(Mode) -> bool,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    let mut has_fallen_silent = false;
+    let mut chunk = vec![0; CHUNK_SIZE];
+    let mut is_discarding = false;
     loop {
         let Ok(length @ 1..) = from.read(&mut chunk).await else { return };
         let now = *mode.borrow();
-        has_fallen_silent |= is_silent(now);
-        if has_fallen_silent {
+        is_discarding |= discards(now);
+        if is_discarding {
             continue;
         }
         if let Mode::Delayed(delay) = now {
--- a/tests/testsuite/soak/fault.rs
+++ b/tests/testsuite/soak/fault.rs
@@ -1,4 +1,4 @@
-//! The table of faults of a soak, drawn from its seed.
+//! The random schedule of faults of a soak test.
 
 use std::{fmt, time::Duration};
 
@@ -7,92 +7,92 @@
 
 use crate::relay::Mode;
 
-/// The mean time between the starts of two series of faults.
-const BETWEEN: Duration = Duration::from_millis(1_200);
-/// The most faults of a series.
-const LONGEST_SERIES: u32 = 3;
-/// The longest time between two faults of a series.
-const SERIES_GAP: Duration = Duration::from_millis(900);
+/// Mean time between the starts of two series of faults.
+const MEAN_SERIES_INTERVAL: Duration = Duration::from_millis(1_200);
+/// Maximum number of faults in a series.
+const MAX_SERIES_LENGTH: u32 = 3;
+/// Maximum time between the starts of two faults of a series.
+const MAX_FAULT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// How large the fleet is.
+/// The size of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shape {
-    /// Its nodes.
+    /// Number of nodes.
     pub nodes: usize,
 }
 
-/// What goes wrong.
+/// A fault, with the node, link or store that it affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A node is killed, and started again at the end.
+    /// A node is killed, and restarted at the end of the fault.
     Kill,
-    /// A node is asked to end, and started again once it has.
+    /// A node is shut down gracefully, and restarted once it has exited.
     Stop,
-    /// A node is suspended.
+    /// A node is suspended until the end of the fault.
     Pause,
-    /// The target of a node is suspended.
+    /// The target of a node is suspended until the end of the fault.
     PauseTarget,
     /// The target of a node is slow.
     SlowTarget,
-    /// The target of a node declines everything.
+    /// The target of a node drains and declines all requests.
     Declines,
-    /// The way from a node to the store.
+    /// The relay from a node to the store is in this mode.
     StoreLink(Mode),
-    /// The way from peers to a node.
+    /// The relay from peers to a node is in this mode.
     PeerLink(Mode),
-    /// The store behaves in this way for all.
+    /// The store is in this failure mode for all nodes.
     Store(&'static str),
-    /// The store forgets its history.
+    /// The store compacts its history.
     Compact,
     /// An operator withdraws a key.
     Withdraw,
 }
 
-/// A row of the table of faults.
+/// A fault of one slot, with its start and end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Row {
-    /// When it begins, from the start of traffic.
+    /// Start of the fault, since the start of the load.
     pub at: Duration,
-    /// When it ends.
+    /// End of the fault, since the start of the load.
     pub until: Duration,
-    /// The slot of the node.
+    /// Index of the slot of the affected node.
     pub slot: usize,
-    /// What goes wrong.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// All faults of a soak, in the order of their beginnings.
+/// All faults of a soak test, in the order of their starts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schedule {
-    /// What it was drawn from.
+    /// The seed that the faults are generated from.
     pub seed: u64,
-    /// How large the fleet is.
+    /// The size of the fleet.
     pub shape: Shape,
-    /// When the last fault has ended.
+    /// Time limit of all faults; none ends later.
     pub length: Duration,
-    /// The faults.
+    /// The faults, sorted by start.
     pub rows: Vec<Row>,
 }
 
 impl Schedule {
-    /// Draws the faults of a seed.
-    pub fn draw(seed: u64, shape: Shape, length: Duration) -> Schedule {
+    /// Generates the faults of a seed.
+    pub fn generate(seed: u64, shape: Shape, length: Duration) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut rows = Vec::new();
         let mut at = Duration::from_millis(500);
         rows.push(Row { at: length / 3, until: length / 3, slot: 0, fault: Fault::Withdraw });
-        while at + SERIES_GAP < length {
-            let kind = rng.random_range(0..KINDS);
-            let series = rng.random_range(1..=LONGEST_SERIES);
+        while at + MAX_FAULT_INTERVAL < length {
+            let kind = rng.random_range(0..FAULT_KINDS);
+            let series = rng.random_range(1..=MAX_SERIES_LENGTH);
             let mut begin = at;
             for _ in 0..series {
-                let lasting = Duration::from_millis(rng.random_range(100..3_500));
+                let duration = Duration::from_millis(rng.random_range(100..3_500));
                 let slot = rng.random_range(0..shape.nodes);
-                let fault = draw_fault(&mut rng, kind);
-                rows.push(Row { at: begin, until: (begin + lasting).min(length), slot, fault });
-                begin += SERIES_GAP.mul_f64(rng.random());
+                let fault = random_fault(&mut rng, kind);
+                rows.push(Row { at: begin, until: (begin + duration).min(length), slot, fault });
+                begin += MAX_FAULT_INTERVAL.mul_f64(rng.random());
             }
-            at += BETWEEN.mul_f64(2.0 * rng.random::<f64>());
+            at += MEAN_SERIES_INTERVAL.mul_f64(2.0 * rng.random::<f64>());
         }
         rows.retain(|row| row.at < length);
         rows.sort_by_key(|row| row.at);
@@ -100,10 +100,10 @@
     }
 }
 
-/// The kinds that [`draw_fault`] tells apart.
-const KINDS: u32 = 10;
+/// Number of values of `kind` that [`random_fault`] distinguishes.
+const FAULT_KINDS: u32 = 10;
 
-fn draw_fault(rng: &mut Pcg64Mcg, kind: u32) -> Fault {
+fn random_fault(rng: &mut Pcg64Mcg, kind: u32) -> Fault {
     const STORE: [&str; 6] = ["down", "silent", "slow", "error", "busy", "lose-answer"];
     match kind {
         0 | 1 => Fault::Kill,
@@ -112,14 +112,14 @@
         4 => Fault::PauseTarget,
         5 => Fault::SlowTarget,
         6 => Fault::Declines,
-        7 => Fault::StoreLink(draw_mode(rng)),
-        8 => Fault::PeerLink(draw_mode(rng)),
+        7 => Fault::StoreLink(random_mode(rng)),
+        8 => Fault::PeerLink(random_mode(rng)),
         _ if rng.random_bool(0.2) => Fault::Compact,
         _ => Fault::Store(STORE[rng.random_range(0..STORE.len())]),
     }
 }
 
-fn draw_mode(rng: &mut Pcg64Mcg) -> Mode {
+fn random_mode(rng: &mut Pcg64Mcg) -> Mode {
     let delay = Duration::from_millis(rng.random_range(5..300));
     [Mode::Cut, Mode::Silent, Mode::SilentBack, Mode::Delayed(delay)][rng.random_range(0..4)]
 }
--- a/tests/testsuite/soak/run.rs
+++ b/tests/testsuite/soak/run.rs
@@ -1,4 +1,4 @@
-//! Runs a soak: a tick begins and ends what is due in the table of faults.
+//! Runs a soak test: each tick starts and ends the faults that are due in the schedule.
 
 use std::{
     fs,
@@ -19,48 +19,54 @@
 use tokio::task::JoinHandle;
 
 use crate::{
-    fleet::{Ask, Fleet, slot},
+    fleet::{CallerRequest, Fleet, slot},
     process::output,
     relay::Mode,
     soak::fault::{Fault, Row, Schedule},
 };
 
-/// The time between two ticks.
-const TICK: Duration = Duration::from_millis(20);
-/// How long a process may take to end after it was asked to.
-const END_TIMEOUT: Duration = Duration::from_secs(35);
-/// How long the fleet may take to serve again after the last fault.
-const RECOVERY: Duration = Duration::from_secs(15);
-/// The delay of a slow store.
+/// Time between two ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a node may take to exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(35);
+/// How long the fleet may take to serve all requests after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay of the store's replies in its slow mode.
 const STORE_DELAY: Duration = Duration::from_millis(200);
-/// The time of a run on a slow target, and on another.
-const SLOW_MS: u64 = 150;
-const QUICK_MS: u64 = 5;
+/// Service time of a slow target.
+const SLOW_SERVICE_TIME_MS: u64 = 150;
+/// Service time of any other target.
+const FAST_SERVICE_TIME_MS: u64 = 5;
 
-/// The rate and the burst of the team that sends more than it may.
-const RATE: u32 = 40;
-const BURST: u32 = 40;
+/// Rate, in requests per second, of the team whose load exceeds its rate.
+const LIMITED_RATE: u32 = 40;
+/// Burst, in requests, of that team.
+const LIMITED_BURST: u32 = 40;
 
-/// Where a row of the table of faults stands.
+/// Progress of one scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    Waiting,
+    /// The fault has not started.
+    Pending,
+    /// The fault is in effect.
     Active,
-    /// The node was asked to end at this time.
-    Ending(Duration),
-    Over,
+    /// SIGTERM was sent to the node at this time.
+    Stopping(Duration),
+    /// The fault has ended, or was skipped.
+    Done,
 }
 
-/// A fleet with its load and the faults that come.
+/// A fleet with its load and its schedule of faults.
 pub struct Soak {
     fleet: Fleet,
     schedule: Schedule,
+    /// One stage for each row of the schedule.
     stages: Vec<Stage>,
     key: String,
     loads: Vec<JoinHandle<Report>>,
-    /// Exists once the key of a team is withdrawn.
-    mark: PathBuf,
-    /// The operator who withdraws it.
+    /// File that is created once the withdrawal of the key is in force, for the load generator.
+    withdrawn_file: PathBuf,
+    /// Task that withdraws the key.
     operator: Option<JoinHandle<()>>,
     started: Instant,
 }
@@ -76,22 +82,22 @@
             })
             .collect();
         let fleet = Fleet::start(&plans).await;
-        let rate = [format!("rate={RATE}"), format!("burst={BURST}")];
-        fleet.operate(&["defaults", "set", "team", "sellers", "rate=2000", "burst=2000"]);
-        fleet.operate(&["defaults", "set", "team", "limited", &rate[0], &rate[1]]);
+        let rate = [format!("rate={LIMITED_RATE}"), format!("burst={LIMITED_BURST}")];
+        fleet.run_successfully(&["defaults", "set", "team", "sellers", "rate=2000", "burst=2000"]);
+        fleet.run_successfully(&["defaults", "set", "team", "limited", &rate[0], &rate[1]]);
         let key = fleet.issue_key("garage-1").await;
-        let withdrawn = fleet.operate(&["keys", "issue", "sellers", "--id", "seller-1"]);
-        let limited = fleet.operate(&["keys", "issue", "limited", "--id", "limited-1"]);
+        let withdrawn = fleet.run_successfully(&["keys", "issue", "sellers", "--id", "seller-1"]);
+        let limited = fleet.run_successfully(&["keys", "issue", "limited", "--id", "limited-1"]);
         fleet.wait_until_in_force().await;
 
-        let mark = fleet.directory().join("withdrawn");
+        let withdrawn_file = fleet.directory().join("withdrawn");
         let team = |name: &str, key: &str, rate| Team {
             name: name.into(),
             key: Some(key.into()),
             rate,
-            withdrawn_mark: (name == "sellers").then(|| mark.clone()),
+            withdrawn_mark: (name == "sellers").then(|| withdrawn_file.clone()),
         };
-        let all = [team("garages", &key, 150.0), team("sellers", &withdrawn, 50.0)];
+        let unlimited = [team("garages", &key, 150.0), team("sellers", &withdrawn, 50.0)];
         let routes = ["4 GET /slots", "2 GET /ledger", "3 POST /bookings once"];
         let arguments = |teams: Vec<Team>| Arguments {
             entries: fleet.slots.iter().map(|slot| slot.callers).collect(),
@@ -105,18 +111,27 @@
         };
         let limited = vec![team("limited", &limited, 120.0)];
         let loads = vec![
-            tokio::spawn(load::run(arguments(all.to_vec()))),
+            tokio::spawn(load::run(arguments(unlimited.to_vec()))),
             tokio::spawn(load::run(arguments(limited))),
         ];
-        let stages = vec![Stage::Waiting; schedule.rows.len()];
-        Soak { fleet, schedule, stages, key, loads, mark, operator: None, started: Instant::now() }
+        let stages = vec![Stage::Pending; schedule.rows.len()];
+        Soak {
+            fleet,
+            schedule,
+            stages,
+            key,
+            loads,
+            withdrawn_file,
+            operator: None,
+            started: Instant::now(),
+        }
     }
 
-    /// Lets all faults come and go, and tells which promises were broken.
+    /// Injects all faults and returns the promises that were broken.
     pub async fn run(mut self) -> Vec<String> {
-        while self.stages.iter().any(|stage| *stage != Stage::Over) {
+        while self.stages.iter().any(|stage| *stage != Stage::Done) {
             self.tick().await;
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
         if let Some(operator) = self.operator.take() {
             operator.await.expect("the operator ends");
@@ -130,10 +145,12 @@
         for report in &reports {
             broken.extend(report.broken().iter().cloned());
         }
-        let most = f64::from(BURST) + f64::from(RATE) * elapsed.as_secs_f64();
-        let ran = self.ran_for("limited").await;
-        if ran as f64 > most {
-            broken.push(format!("{ran} requests of a team ran, at most {most:.0} may"));
+        let max_runs = f64::from(LIMITED_BURST) + f64::from(LIMITED_RATE) * elapsed.as_secs_f64();
+        let ran = self.count_runs("limited").await;
+        if ran as f64 > max_runs {
+            broken.push(format!(
+                "{ran} requests of team `limited` ran, but its rate allows at most {max_runs:.0}"
+            ));
         }
         if !broken.is_empty() {
             eprintln!("{}", self.schedule);
@@ -148,40 +165,40 @@
         for index in 0..self.stages.len() {
             let row = self.schedule.rows[index];
             self.stages[index] = match self.stages[index] {
-                Stage::Waiting if row.at <= now => self.begin(row).await,
+                Stage::Pending if row.at <= now => self.begin(row).await,
                 Stage::Active if row.until <= now => self.end(index).await,
-                Stage::Ending(since) => self.restart_once_ended(row.slot, since, now),
+                Stage::Stopping(since) => self.restart_once_exited(row.slot, since, now),
                 stage => stage,
             };
         }
     }
 
-    /// Whether another fault has the process of a node already.
-    fn is_taken(&self, slot: usize) -> bool {
+    /// Whether another fault has killed, stopped or suspended the node of a slot.
+    fn has_process_fault(&self, slot: usize) -> bool {
         self.schedule.rows.iter().zip(&self.stages).any(|(row, stage)| {
             let is_process = matches!(row.fault, Fault::Kill | Fault::Stop | Fault::Pause);
-            let is_on = matches!(stage, Stage::Active | Stage::Ending(_));
-            is_process && is_on && row.slot == slot
+            let is_in_effect = matches!(stage, Stage::Active | Stage::Stopping(_));
+            is_process && is_in_effect && row.slot == slot
         })
     }
 
     async fn begin(&mut self, row: Row) -> Stage {
         let is_process = matches!(row.fault, Fault::Kill | Fault::Stop | Fault::Pause);
-        if is_process && self.is_taken(row.slot) {
-            return Stage::Over;
+        if is_process && self.has_process_fault(row.slot) {
+            return Stage::Done;
         }
         let slot = &mut self.fleet.slots[row.slot];
-        let relays = slot.relays.as_ref().expect("the plan wants relays");
+        let relays = slot.relays.as_ref().expect("the plan asks for relays");
         match row.fault {
             Fault::Kill => slot.node.kill(),
             Fault::Stop => {
                 slot.node.signal("TERM");
-                return Stage::Ending(self.started.elapsed());
+                return Stage::Stopping(self.started.elapsed());
             }
             Fault::Pause => slot.node.signal("STOP"),
             Fault::PauseTarget => slot.target_process.signal("STOP"),
             Fault::SlowTarget => {
-                self.set_target(row.slot, json!({ "service-time-ms": SLOW_MS })).await
+                self.set_target(row.slot, json!({ "service-time-ms": SLOW_SERVICE_TIME_MS })).await
             }
             Fault::Declines => self.set_target(row.slot, json!({ "draining": true })).await,
             Fault::StoreLink(mode) => relays.store.set(mode),
@@ -193,28 +210,29 @@
         Stage::Active
     }
 
-    /// Ends a fault, unless another one of its kind goes on at the same place.
+    /// Ends a fault. Its effect stays while another fault of the same kind is active on the same
+    /// slot, or on the store.
     async fn end(&mut self, index: usize) -> Stage {
         let row = self.schedule.rows[index];
-        let is_same = |other: &Row| {
-            let is_everywhere = matches!(row.fault, Fault::Store(_));
-            let is_kind =
+        let is_same_effect = |other: &Row| {
+            let is_store_fault = matches!(row.fault, Fault::Store(_));
+            let is_same_kind =
                 std::mem::discriminant(&other.fault) == std::mem::discriminant(&row.fault);
-            is_kind && (is_everywhere || other.slot == row.slot)
+            is_same_kind && (is_store_fault || other.slot == row.slot)
         };
         let rows = self.schedule.rows.iter().zip(&self.stages).enumerate();
         let mut others = rows.filter(|(other, _)| *other != index);
-        if others.any(|(_, (other, stage))| *stage == Stage::Active && is_same(other)) {
-            return Stage::Over;
+        if others.any(|(_, (other, stage))| *stage == Stage::Active && is_same_effect(other)) {
+            return Stage::Done;
         }
         let slot = &mut self.fleet.slots[row.slot];
-        let relays = slot.relays.as_ref().expect("the plan wants relays");
+        let relays = slot.relays.as_ref().expect("the plan asks for relays");
         match row.fault {
             Fault::Kill => self.fleet.restart(row.slot),
             Fault::Pause => slot.node.signal("CONT"),
             Fault::PauseTarget => slot.target_process.signal("CONT"),
             Fault::SlowTarget => {
-                self.set_target(row.slot, json!({ "service-time-ms": QUICK_MS })).await
+                self.set_target(row.slot, json!({ "service-time-ms": FAST_SERVICE_TIME_MS })).await
             }
             Fault::Declines => self.set_target(row.slot, json!({ "draining": false })).await,
             Fault::StoreLink(_) => relays.store.set(Mode::Whole),
@@ -222,27 +240,34 @@
             Fault::Store(_) => self.fleet.set_platform("up", Duration::ZERO).await,
             Fault::Stop | Fault::Compact | Fault::Withdraw => {}
         }
-        Stage::Over
+        Stage::Done
     }
 
-    fn restart_once_ended(&mut self, slot: usize, since: Duration, now: Duration) -> Stage {
+    fn restart_once_exited(&mut self, slot: usize, since: Duration, now: Duration) -> Stage {
         if !self.fleet.slots[slot].node.has_ended() {
-            assert!(now - since < END_TIMEOUT, "slot {slot} does not end\n{}", self.schedule);
-            return Stage::Ending(since);
+            assert!(
+                now - since < EXIT_TIMEOUT,
+                "slot {slot}: timed out waiting until the node exits\n{}",
+                self.schedule
+            );
+            return Stage::Stopping(since);
         }
         self.fleet.restart(slot);
-        Stage::Over
+        Stage::Done
     }
 
-    /// Withdraws a key. While the store is away operators are told so, and try again.
+    /// Withdraws a key. The command fails while the store is unavailable, so it is repeated until
+    /// it succeeds or the schedule ends.
     fn withdraw(&mut self) {
         let slots: Vec<_> = (0..self.fleet.slots.len()).collect();
-        let mut command = self.fleet.prepare(&slots, &["keys", "withdraw", "seller-1"]);
-        let (mark, until) = (self.mark.clone(), self.started + self.schedule.length);
+        let mut command = self.fleet.build_command(&slots, &["keys", "withdraw", "seller-1"]);
+        let (withdrawn_file, until) =
+            (self.withdrawn_file.clone(), self.started + self.schedule.length);
         self.operator = Some(tokio::task::spawn_blocking(move || {
             while Instant::now() < until {
                 if output(&mut command).status.success() {
-                    return fs::write(&mark, "").expect("the scratch directory can be written");
+                    return fs::write(&withdrawn_file, "")
+                        .expect("the scratch directory can be written");
                 }
             }
         }));
@@ -252,15 +277,15 @@
         let address = self.fleet.slots[slot].target;
         let caller = http::caller(false);
         let set = http::call::<Value>(&caller, "POST", address, "/standin/mode", Some(&mode));
-        // The target may be suspended; then it stays as it is.
-        let _unanswered = tokio::time::timeout(Duration::from_millis(100), set).await;
+        // A suspended target does not respond, and keeps its mode.
+        let _result = tokio::time::timeout(Duration::from_millis(100), set).await;
     }
 
     /// Waits until every node serves a keyed request of each service.
     async fn wait_until_served(&self) -> Vec<String> {
-        // Targets that were suspended at the time may have missed the end of a fault.
+        // A target that was suspended at the end of a fault may have missed the change of its mode.
         for slot in 0..self.fleet.slots.len() {
-            let mode = json!({ "service-time-ms": QUICK_MS, "draining": false });
+            let mode = json!({ "service-time-ms": FAST_SERVICE_TIME_MS, "draining": false });
             self.set_target(slot, mode).await;
         }
         let ended = Instant::now();
@@ -269,14 +294,17 @@
             for path in ["/slots", "/ledger"] {
                 let caller = http::caller(false);
                 for number in 0.. {
-                    // The same request again and again would be held to the resend budget.
+                    // Distinct paths, as identical requests would be subject to the resend budget.
                     let path = format!("{path}?number={number}");
-                    let reply = Ask::get(&path, &self.key).send(&caller, slot.callers).await;
-                    if reply.status == 200 {
+                    let response =
+                        CallerRequest::get(&path, &self.key).send(&caller, slot.callers).await;
+                    if response.status == 200 {
                         break;
                     }
-                    if ended.elapsed() > RECOVERY {
-                        broken.push(format!("slot {index} does not serve {path} again: {reply:?}"));
+                    if ended.elapsed() > RECOVERY_TIMEOUT {
+                        broken.push(format!(
+                            "slot {index} does not serve {path} after the last fault: {response:?}"
+                        ));
                         break;
                     }
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -286,9 +314,9 @@
         broken
     }
 
-    /// How many requests of a team ran.
-    async fn ran_for(&self, team: &str) -> usize {
-        let runs = self.fleet.ran().await;
+    /// Number of requests of a team that ran.
+    async fn count_runs(&self, team: &str) -> usize {
+        let runs = self.fleet.target_runs().await;
         let names = runs.iter().filter_map(|run| {
             run.headers.iter().find(|header| header.name == chain::REQUEST_HEADER)
         });
