--- a/src/client.rs
+++ b/src/client.rs
@@ -96,7 +96,8 @@
     pub removals: Vec<Path>,
 }
 
-/// Sends each request to the nodes in order until one responds.
+/// Sends each request to the nodes in order until one responds other than with
+/// [`Rejection::Unavailable`].
 #[derive(Debug)]
 pub struct Client {
     addresses: Vec<SocketAddr>,
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -85,7 +85,7 @@
     let mut attempts = 1;
     let revision = loop {
         match withdraw_key(&session, &path).await {
-            // A withdrawal holds whatever another operator changed, so a conflict is retried.
+            // A withdrawal is valid whatever another operator changed, so a conflict is retried.
             Err(Error::Client(client::Error::Rejected(Rejection::Conflict { .. })))
                 if attempts < MAX_WITHDRAW_ATTEMPTS =>
             {
