--- a/crates/mustardpin-settings/src/reader.rs
+++ b/crates/mustardpin-settings/src/reader.rs
@@ -291,7 +291,7 @@
         const EXPECTED: &str = "a length of time such as 500ms, 3s or 10min";
         let Some(text) = self.optional(key, EXPECTED) else { return default };
         let range = range.start().0..=range.end().0;
-        match parse_length(&text) {
+        match parse_duration(&text) {
             Some(length) => Millis(self.within(key, length.0, &text, range, "ms", default.0)),
             None => {
                 self.malformed(key, &text, EXPECTED);
@@ -367,14 +367,14 @@
 /// Parses a length of time with its unit: `ms`, `s` or `min`.
 ///
 /// ```
-/// use mustardpin_settings::reader::parse_length;
+/// use mustardpin_settings::reader::parse_duration;
 /// use mustardpin_world::Millis;
 ///
-/// assert_eq!(parse_length("3s"), Some(Millis(3_000)));
-/// assert_eq!(parse_length("0.25s"), Some(Millis(250)));
-/// assert_eq!(parse_length("3"), None);
+/// assert_eq!(parse_duration("3s"), Some(Millis(3_000)));
+/// assert_eq!(parse_duration("0.25s"), Some(Millis(250)));
+/// assert_eq!(parse_duration("3"), None);
 /// ```
-pub fn parse_length(text: &str) -> Option<Millis> {
+pub fn parse_duration(text: &str) -> Option<Millis> {
     let end = text.find(|character: char| !character.is_ascii_digit() && character != '.')?;
     let number: f64 = text[..end].parse().ok()?;
     let factor = match text[end..].trim_start() {
--- a/crates/mustardpin-standin/src/bin/load-generator.rs
+++ b/crates/mustardpin-standin/src/bin/load-generator.rs
@@ -16,5 +16,5 @@
     };
     let report = load::run(arguments).await;
     print!("{report}");
-    if report.broken().is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if report.broken_promises().is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/mustardpin-standin/src/http.rs
+++ b/crates/mustardpin-standin/src/http.rs
@@ -58,16 +58,16 @@
 }
 
 /// Answers requests. Behind a trait object so that the server serves every stand-in.
-pub trait Front: Send + Sync + 'static {
+pub trait Handler: Send + Sync + 'static {
     /// The answer, or [`Cut`] to close the connection without one.
-    fn answer(
+    fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Result<Response<Body>, Cut>>;
 }
 
 /// Accepts connections until the process ends.
-pub async fn serve(listener: TcpListener, front: Arc<dyn Front>) {
+pub async fn serve(listener: TcpListener, front: Arc<dyn Handler>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(tokio::spawn(serve_connection(stream, Arc::clone(&front)))),
@@ -76,9 +76,9 @@
     }
 }
 
-async fn serve_connection(stream: TcpStream, front: Arc<dyn Front>) {
+async fn serve_connection(stream: TcpStream, front: Arc<dyn Handler>) {
     let _nagle_stays_on = stream.set_nodelay(true);
-    let service = service_fn(move |request| Arc::clone(&front).answer(request));
+    let service = service_fn(move |request| Arc::clone(&front).respond(request));
     let builder = auto::Builder::new(TokioExecutor::new());
     let _cut_or_closed = builder.serve_connection(TokioIo::new(stream), service).await;
 }
--- a/crates/mustardpin-standin/src/load/arguments.rs
+++ b/crates/mustardpin-standin/src/load/arguments.rs
@@ -42,7 +42,7 @@
     /// Requests a second.
     pub rate: f64,
     /// Its key counts as withdrawn once this file exists.
-    pub withdrawn_mark: Option<PathBuf>,
+    pub withdrawal_file: Option<PathBuf>,
 }
 
 impl FromStr for Team {
@@ -55,7 +55,7 @@
         };
         let rate = rate.parse().map_err(|_| format!("{rate} is not a rate"))?;
         let key = (key != "-").then(|| key.into());
-        Ok(Team { name: name.into(), key, rate, withdrawn_mark: None })
+        Ok(Team { name: name.into(), key, rate, withdrawal_file: None })
     }
 }
 
@@ -172,7 +172,7 @@
             Some((team, file))
         });
         match found {
-            Some((team, file)) => team.withdrawn_mark = Some(file.into()),
+            Some((team, file)) => team.withdrawal_file = Some(file.into()),
             None => {
                 return Err(Error::Malformed {
                     option: "--withdrawn",
--- a/crates/mustardpin-standin/src/load/report.rs
+++ b/crates/mustardpin-standin/src/load/report.rs
@@ -26,13 +26,13 @@
         inspection: Inspection,
         elapsed: Duration,
     ) -> Report {
-        let broken = broken_promises(arguments, &tally, &inspection);
+        let broken = find_broken_promises(arguments, &tally, &inspection);
         let inspected = !arguments.inspected.is_empty();
         Report { tally, inspection, inspected, elapsed, broken }
     }
 
     /// The promises that were broken, a sentence each.
-    pub fn broken(&self) -> &[String] {
+    pub fn broken_promises(&self) -> &[String] {
         &self.broken
     }
 
@@ -42,7 +42,11 @@
     }
 }
 
-fn broken_promises(arguments: &Arguments, tally: &Tally, inspection: &Inspection) -> Vec<String> {
+fn find_broken_promises(
+    arguments: &Arguments,
+    tally: &Tally,
+    inspection: &Inspection,
+) -> Vec<String> {
     let mut broken = Vec::new();
     let mut judge = |count: u64, what: &str| {
         if count > 0 {
--- a/crates/mustardpin-standin/src/load/sender.rs
+++ b/crates/mustardpin-standin/src/load/sender.rs
@@ -21,7 +21,7 @@
         arguments::{Arguments, Route, Team},
         tally::{End, Event, RouteKey, Sample, TeamKey},
     },
-    target::{answer, chain},
+    target::{chain, response_body},
 };
 
 /// How long past its deadline a request is waited for.
@@ -94,7 +94,7 @@
 
     /// How long the team's key has been withdrawn.
     fn withdrawn_for(&self, team: &Team) -> Option<Duration> {
-        let metadata = std::fs::metadata(team.withdrawn_mark.as_ref()?).ok()?;
+        let metadata = std::fs::metadata(team.withdrawal_file.as_ref()?).ok()?;
         metadata.modified().ok()?.elapsed().ok()
     }
 
@@ -127,7 +127,7 @@
         let (parts, body) = response.into_parts();
         let Ok(body) = body.collect().await else { return End::CutOff };
         if parts.status == StatusCode::OK {
-            return match answer::check(&body.to_bytes(), &self.name(job)) {
+            return match response_body::check(&body.to_bytes(), &self.name(job)) {
                 Ok(()) => End::Whole,
                 Err(flaw) => End::Flawed(flaw),
             };
--- a/crates/mustardpin-standin/src/load/tally.rs
+++ b/crates/mustardpin-standin/src/load/tally.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use hdrhistogram::Histogram;
 
-use crate::{control::Control, load::arguments::Arguments, target::answer::Flaw};
+use crate::{control::Control, load::arguments::Arguments, target::response_body::Flaw};
 
 /// The longest latency that is told apart, in microseconds.
 const LONGEST_LATENCY: u64 = 600_000_000;
--- a/crates/mustardpin-standin/src/platform.rs
+++ b/crates/mustardpin-standin/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's stand-in: its store of rows over HTTP, in memory.
 
-pub mod front;
+pub mod handler;
 pub mod table;
 
 use std::{net::SocketAddr, sync::Arc};
@@ -53,6 +53,6 @@
 pub async fn run(arguments: Arguments) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind(arguments.address).await?;
     let (handle, _thread) = control::start(table::Store::default());
-    http::serve(listener, Arc::new(front::Platform::new(handle))).await;
+    http::serve(listener, Arc::new(handler::Platform::new(handle))).await;
     Ok(())
 }
--- a/crates/mustardpin-standin/src/platform/front.rs
+++ b/crates/mustardpin-standin/src/platform/handler.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     control::Handle,
-    http::{Body, Cut, Front, json, read_json, text},
+    http::{Body, Cut, Handler, json, read_json, text},
     platform::table::{Behaviour, Event, Gone},
 };
 
@@ -113,8 +113,8 @@
     }
 }
 
-impl Front for Platform {
-    fn answer(
+impl Handler for Platform {
+    fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Result<Response<Body>, Cut>> {
@@ -125,7 +125,7 @@
 /// The value of a query parameter.
 ///
 /// ```
-/// use mustardpin_standin::platform::front::query;
+/// use mustardpin_standin::platform::handler::query;
 /// assert_eq!(query(Some("bytes=3&pace-ms=5"), "pace-ms"), Some("5"));
 /// ```
 pub fn query<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
--- a/crates/mustardpin-standin/src/target.rs
+++ b/crates/mustardpin-standin/src/target.rs
@@ -1,10 +1,10 @@
 //! The target's stand-in: runs requests in slots, calls further services and tells what it ran.
 
 pub mod announce;
-pub mod answer;
 pub mod arguments;
 pub mod chain;
-pub mod front;
+pub mod handler;
+pub mod response_body;
 pub mod run;
 
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 
 use crate::{
     control, http,
-    target::{announce::Announcer, arguments::Arguments, front::Target, run::Event},
+    target::{announce::Announcer, arguments::Arguments, handler::Target, run::Event},
 };
 
 /// Serves until the process is told to stop and has finished what it was running.
 pub async fn run(arguments: Arguments) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind(arguments.address).await?;
     let mut terminate = signal(SignalKind::terminate())?;
-    let (handle, _thread) = control::start(run::Site::new(&arguments));
+    let (handle, _thread) = control::start(run::TargetState::new(&arguments));
     let caller = http::caller(false);
     let target = Target::new(handle.clone(), caller.clone(), &arguments);
     tokio::spawn(http::serve(listener, Arc::new(target)));
--- a/crates/mustardpin-standin/src/target/chain.rs
+++ b/crates/mustardpin-standin/src/target/chain.rs
@@ -12,8 +12,8 @@
 use crate::{
     http::Caller,
     target::{
-        answer::{self, Flaw},
         arguments::{Arguments, Call},
+        response_body::{self, Flaw},
     },
 };
 
@@ -120,6 +120,6 @@
         if status != StatusCode::OK {
             return Err(Error::Status(status));
         }
-        Ok(answer::check(&body, &name)?)
+        Ok(response_body::check(&body, &name)?)
     }
 }
--- a/crates/mustardpin-standin/src/target/front.rs
+++ b/crates/mustardpin-standin/src/target/handler.rs
@@ -11,11 +11,11 @@
 
 use crate::{
     control::Handle,
-    http::{Body, Caller, Cut, Front, json, read_json, text},
+    http::{Body, Caller, Cut, Handler, json, read_json, text},
     target::{
-        answer::{self, Form, Running},
         arguments::Arguments,
         chain::{CALL_HEADER, Chain, Context, IDEMPOTENCY_HEADER, REQUEST_HEADER},
+        response_body::{self, Form, Running},
         run::{Event, Header, Run, Stage},
     },
 };
@@ -82,7 +82,7 @@
         if let Err(error) = self.chain.run(&context).await {
             return Ok(failed(&error.to_string(), running));
         }
-        Ok(answer::respond(&context.request, Form::from_query(parts.uri.query()), running))
+        Ok(response_body::respond(&context.request, Form::from_query(parts.uri.query()), running))
     }
 
     async fn crash_if_asked(&self, parts: &Parts) {
@@ -95,8 +95,8 @@
     }
 }
 
-impl Front for Target {
-    fn answer(
+impl Handler for Target {
+    fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Result<Response<Body>, Cut>> {
--- a/crates/mustardpin-standin/src/target/answer.rs
+++ b/crates/mustardpin-standin/src/target/response_body.rs
@@ -15,7 +15,7 @@
 use crate::{
     control::Handle,
     http::{Body, Cut},
-    platform::front::query,
+    platform::handler::query,
     target::run::{Event, RunKey},
 };
 
@@ -40,7 +40,7 @@
     /// Reads `bytes`, `pace-ms` and `cut-after` from a query.
     ///
     /// ```
-    /// use mustardpin_standin::target::answer::Form;
+    /// use mustardpin_standin::target::response_body::Form;
     /// assert_eq!(Form::from_query(Some("bytes=9")).size, 9);
     /// ```
     pub fn from_query(text: Option<&str>) -> Form {
@@ -73,7 +73,7 @@
 /// The whole body of an answer to a request.
 ///
 /// ```
-/// use mustardpin_standin::target::answer::{Flaw, check, compose};
+/// use mustardpin_standin::target::response_body::{Flaw, check, compose};
 ///
 /// let body = compose("r-1", 1_000);
 /// assert_eq!(check(&body, "r-1"), Ok(()));
@@ -92,7 +92,7 @@
 /// Checks that a body is whole and answers this request.
 ///
 /// ```
-/// use mustardpin_standin::target::answer::{Flaw, check};
+/// use mustardpin_standin::target::response_body::{Flaw, check};
 /// assert_eq!(check(b"hello", "r-1"), Err(Flaw::Foreign));
 /// ```
 pub fn check(body: &[u8], request: &str) -> Result<(), Flaw> {
--- a/crates/mustardpin-standin/src/target/run.rs
+++ b/crates/mustardpin-standin/src/target/run.rs
@@ -128,7 +128,7 @@
 
 /// Everything a target keeps.
 #[derive(Debug)]
-pub struct Site {
+pub struct TargetState {
     announcement: Announcement,
     misleading: Misleading,
     slots: u32,
@@ -142,10 +142,10 @@
     idle: Vec<oneshot::Sender<()>>,
 }
 
-impl Site {
+impl TargetState {
     /// A target that runs nothing yet.
-    pub fn new(arguments: &Arguments) -> Site {
-        Site {
+    pub fn new(arguments: &Arguments) -> TargetState {
+        TargetState {
             announcement: Announcement {
                 address: arguments.address,
                 service: arguments.service.clone(),
@@ -247,7 +247,7 @@
     }
 }
 
-impl Control for Site {
+impl Control for TargetState {
     type Event = Event;
 
     fn tick(&mut self, events: Vec<Event>) {
--- a/crates/mustardpin-standin/tests/testsuite/load.rs
+++ b/crates/mustardpin-standin/tests/testsuite/load.rs
@@ -5,7 +5,7 @@
 use mustardpin_standin::{
     control, http,
     load::{self, arguments::Arguments as Load},
-    target::{arguments::Arguments, front::Target, run::Site},
+    target::{arguments::Arguments, handler::Target, run::TargetState},
 };
 use tokio::net::TcpListener;
 
@@ -15,7 +15,7 @@
     let mut arguments = Arguments::new(address, address, "ledger".into());
     arguments.slots = slots;
     arguments.service_time = Duration::from_millis(1);
-    let (handle, _thread) = control::start(Site::new(&arguments));
+    let (handle, _thread) = control::start(TargetState::new(&arguments));
     let target = Target::new(handle, http::caller(false), &arguments);
     tokio::spawn(http::serve(listener, Arc::new(target)));
     address
@@ -38,7 +38,7 @@
     let report = load::run(load(address, "1 GET /slots?bytes=100000")).await;
     let row = &report.tally().teams[0];
     assert!(row.due > 0);
-    assert_eq!((row.whole, report.broken()), (row.due, &[][..]), "{report}");
+    assert_eq!((row.whole, report.broken_promises()), (row.due, &[][..]), "{report}");
 }
 
 #[tokio::test]
@@ -49,7 +49,7 @@
     let report = load::run(arguments).await;
     let row = &report.tally().teams[0];
     let expected = format!("{} requests were cut off", row.due);
-    assert_eq!((row.whole, report.broken()), (0, &[expected][..]), "{report}");
+    assert_eq!((row.whole, report.broken_promises()), (0, &[expected][..]), "{report}");
 }
 
 #[tokio::test]
@@ -66,5 +66,5 @@
     let teams = vec!["garage,garage-1.s3cret,100".parse().expect("a team")];
     let report = load::run(Load { teams, ..load(address, "1 POST /bookings once") }).await;
     let expected = format!("{} headers showed a target a tenant key", report.tally().teams[0].due);
-    assert_eq!(report.broken(), [expected], "{report}");
+    assert_eq!(report.broken_promises(), [expected], "{report}");
 }
--- a/src/assignment.rs
+++ b/src/assignment.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
-use mustardpin_settings::reader::parse_length;
+use mustardpin_settings::reader::parse_duration;
 use mustardpin_wire::config as wire;
 use mustardpin_world::{
     Millis,
@@ -88,7 +88,7 @@
     const EXPECTED: &'static str = "a length of time such as 500ms, 3s or 10min";
 
     fn read(text: &str) -> Option<Millis> {
-        parse_length(text)
+        parse_duration(text)
     }
 }
 
@@ -107,7 +107,7 @@
         if text == "refuse" {
             return Some(CutOffPolicy::Refuse);
         }
-        text.strip_prefix("serve:").and_then(parse_length).map(CutOffPolicy::Serve)
+        text.strip_prefix("serve:").and_then(parse_duration).map(CutOffPolicy::Serve)
     }
 }
 
--- a/tests/testsuite/soak/run.rs
+++ b/tests/testsuite/soak/run.rs
@@ -89,7 +89,7 @@
             name: name.into(),
             key: Some(key.into()),
             rate,
-            withdrawn_mark: (name == "sellers").then(|| mark.clone()),
+            withdrawal_file: (name == "sellers").then(|| mark.clone()),
         };
         let all = [team("garages", &key, 150.0), team("sellers", &withdrawn, 50.0)];
         let routes = ["4 GET /slots", "2 GET /ledger", "3 POST /bookings once"];
@@ -128,7 +128,7 @@
         }
         let elapsed = self.started.elapsed();
         for report in &reports {
-            broken.extend(report.broken().iter().cloned());
+            broken.extend(report.broken_promises().iter().cloned());
         }
         let most = f64::from(BURST) + f64::from(RATE) * elapsed.as_secs_f64();
         let ran = self.ran_for("limited").await;
--- a/tests/testsuite/stop.rs
+++ b/tests/testsuite/stop.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use mustardpin_standin::{http, target::answer};
+use mustardpin_standin::{http, target::response_body};
 use tokio::{io::AsyncWriteExt as _, net::TcpStream};
 
 use crate::fleet::{Ask, Fleet, slot};
@@ -39,7 +39,7 @@
     for reply in join_all(slow).await {
         let reply = reply.expect("the task ends");
         assert_eq!((reply.status, reply.reason.as_str()), (200, ""), "{}", fleet.logs());
-        assert_eq!(answer::check(&reply.body, "/slots"), Ok(()));
+        assert_eq!(response_body::check(&reply.body, "/slots"), Ok(()));
     }
     let status = fleet.slots[0].node.wait();
     assert_eq!(status.code(), Some(0), "{}", fleet.logs());
