--- a/crates/mustardpin-settings/src/document.rs
+++ b/crates/mustardpin-settings/src/document.rs
@@ -1,23 +1,23 @@
-//! A YAML document as dotted keys with their values.
+//! A YAML document, flattened into dotted keys with their values.
 
 use std::{collections::BTreeMap, fmt};
 
 use compact_str::{CompactString, ToCompactString as _, format_compact};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 
-/// Stands for the key of a file that is not a section.
-const WHOLE_FILE: &str = "(the whole file)";
+/// The key under which a document is reported whose root is not a mapping.
+const ROOT_KEY: &str = "(the whole file)";
 
-/// A value without a type of its own yet.
+/// A YAML node whose scalars are not parsed yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Node {
-    /// Nothing stands there.
+    /// No value, or `null`.
     Null,
-    /// A number, a truth value or a text, as text.
+    /// A number, a boolean or a string, as text.
     Scalar(CompactString),
-    /// A list.
+    /// A list of nodes.
     Sequence(Vec<Node>),
-    /// Keys with their values.
+    /// Keys and their values, in the order of the document.
     Mapping(Vec<(CompactString, Node)>),
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// All values of a document by their dotted keys.
+/// The scalars and lists of a document by their dotted keys. Nulls are left out.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Document {
     values: BTreeMap<CompactString, Node>,
 }
 
 impl Document {
-    /// Parses YAML. An empty text is an empty document.
+    /// Parses YAML. An empty text gives an empty document.
     ///
     /// ```
     /// use mustardpin_settings::document::{Document, Node};
@@ -55,12 +55,12 @@
             serde_saphyr::from_str::<Node>(yaml).map_err(Box::new)?
         };
         let mut document = Document::default();
-        let key = if matches!(root, Node::Mapping(_)) { "" } else { WHOLE_FILE };
+        let key = if matches!(root, Node::Mapping(_)) { "" } else { ROOT_KEY };
         document.flatten(key, root);
         Ok(document)
     }
 
-    /// Takes out the value of a dotted key.
+    /// Removes a dotted key and returns its value.
     ///
     /// ```
     /// use mustardpin_settings::document::Document;
@@ -70,13 +70,13 @@
         self.values.remove(key)
     }
 
-    /// The dotted keys that have not been taken out, with their values.
+    /// The dotted keys that have not been taken, with their values.
     ///
     /// ```
     /// let document = mustardpin_settings::document::Document::parse("a: {b: 1}").unwrap();
-    /// assert_eq!(document.rest().next().unwrap().0, "a.b");
+    /// assert_eq!(document.remaining().next().unwrap().0, "a.b");
     /// ```
-    pub fn rest(&self) -> impl Iterator<Item = (&CompactString, &Node)> {
+    pub fn remaining(&self) -> impl Iterator<Item = (&CompactString, &Node)> {
         self.values.iter()
     }
 
--- a/crates/mustardpin-settings/src/error.rs
+++ b/crates/mustardpin-settings/src/error.rs
@@ -1,11 +1,11 @@
-//! Why settings were not accepted.
+//! Errors of reading and checking settings.
 
 use std::{io, path::PathBuf};
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
 
-/// Why settings were not accepted.
+/// An error that keeps a settings file from being used.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// The file could not be read.
@@ -13,18 +13,18 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is not YAML.
+    /// The file is not well-formed YAML, or has a key twice.
     #[display("settings file {} is not well-formed YAML", file.display())]
     Syntax {
         /// The file.
         file: PathBuf,
-        /// What the parser said, with line and column.
+        /// The error of the parser, with line and column.
         source: Box<serde_saphyr::Error>,
     },
-    /// Some values are missing or wrong. All of them are listed.
+    /// Some keys are missing, unknown or have invalid values. All of them are listed.
     #[display("{}", problems.iter().map(|problem| format!("{}: {problem}", file.display())).collect::<Vec<_>>().join("\n"))]
     Invalid {
         /// The file.
@@ -34,15 +34,15 @@
     },
 }
 
-/// One key at fault.
+/// A problem with one key.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Problem {
-    /// A key that has to be set is missing.
+    /// A required key is missing.
     #[display("{key}: not set; set it to {expected}")]
     Missing {
         /// The dotted key.
         key: CompactString,
-        /// What the value has to be.
+        /// The form that the value must have.
         expected: CompactString,
     },
     /// No setting has this key.
@@ -55,17 +55,17 @@
         key: CompactString,
         /// Its value.
         value: CompactString,
-        /// The known key most like it.
+        /// The known key with the smallest edit distance, if it is close enough to be suggested.
         nearest: Option<CompactString>,
     },
-    /// The value is not of the kind that the key needs.
+    /// The value does not have the form that the key requires.
     #[display("{key}: `{value}` is not accepted; change it to {expected}")]
     Malformed {
         /// The dotted key.
         key: CompactString,
-        /// The value.
+        /// The value, or a placeholder for a credential.
         value: CompactString,
-        /// What the value has to be.
+        /// The form that the value must have.
         expected: CompactString,
     },
     /// The value is too small or too large.
@@ -75,21 +75,21 @@
         key: CompactString,
         /// The value.
         value: CompactString,
-        /// The least that is allowed, with its unit.
+        /// The minimum, with its unit.
         least: CompactString,
-        /// The most that is allowed, with its unit.
+        /// The maximum, with its unit.
         most: CompactString,
     },
-    /// Two values do not go together.
+    /// The values of two keys conflict.
     #[display("{key}: `{value}` does not go with {other}; {remedy}")]
-    Clash {
+    Conflict {
         /// The dotted key.
         key: CompactString,
         /// The value.
         value: CompactString,
-        /// The other key.
+        /// The dotted key of the conflicting value.
         other: CompactString,
-        /// What to change.
+        /// What to change to resolve the conflict.
         remedy: CompactString,
     },
 }
--- a/crates/mustardpin-settings/src/lib.rs
+++ b/crates/mustardpin-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Settings of one node, read from YAML and checked in full before anything starts.
 //!
-//! [`document`] turns YAML into dotted keys and their values, [`reader`] takes typed values out of
-//! them and gathers every problem, and [`settings`] says which keys there are.
+//! [`document`] flattens YAML into dotted keys and their values, [`reader`] converts them to typed
+//! values and collects every problem, and [`settings`] defines the keys.
 
 pub mod document;
 pub mod error;
--- a/crates/mustardpin-settings/src/reader.rs
+++ b/crates/mustardpin-settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Takes typed values out of a document and gathers every problem on the way.
+//! Reads typed values from a document and collects every problem.
 
 use std::{net::SocketAddr, ops::RangeInclusive};
 
@@ -10,19 +10,19 @@
     error::Problem,
 };
 
-/// Stands in for the value of a credential in messages.
-const HIDDEN: &str = "(hidden)";
+/// Replaces the value of a credential in error messages.
+const REDACTED: &str = "(hidden)";
 
-/// The longest distance at which a known key is offered in place of an unknown one, in edits.
-const NEAREST_DISTANCE: usize = 6;
+/// The maximum edit distance at which a known key is suggested for an unknown one.
+const MAX_SUGGESTION_DISTANCE: usize = 6;
 
-/// No length of time is as long as this, in milliseconds; larger numbers would not be exact.
-const MOST_MILLIS: f64 = 1e15;
+/// Durations must be below this, in milliseconds, so that an `f64` holds them exactly.
+const MAX_MILLIS: f64 = 1e15;
 
 /// Reads settings one key at a time.
 ///
-/// A key that is missing or wrong gives a problem and a harmless value in its place, so that
-/// reading goes on and all problems are found at once.
+/// A key that is missing or invalid adds a problem and returns a placeholder, so that reading
+/// continues and all problems are reported at once.
 #[derive(Debug)]
 pub struct Reader {
     document: Document,
@@ -31,7 +31,7 @@
 }
 
 impl Reader {
-    /// A reader of this document.
+    /// Creates a reader of a document.
     ///
     /// ```
     /// use mustardpin_settings::{document::Document, reader::Reader};
@@ -44,7 +44,7 @@
         Reader { document, known: Vec::new(), problems: Vec::new() }
     }
 
-    /// All problems, with those of keys that nobody asked for.
+    /// Returns all problems, including one for each key of the document that was not read.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -53,11 +53,11 @@
     /// assert!(reader.finish()[0].to_string().contains("unknown key"));
     /// ```
     pub fn finish(mut self) -> Vec<Problem> {
-        for (key, value) in self.document.rest() {
+        for (key, value) in self.document.remaining() {
             self.problems.push(Problem::Unknown {
                 key: key.clone(),
-                value: shown(key, value),
-                nearest: nearest(key, &self.known),
+                value: redact(key, value),
+                nearest: suggest_key(key, &self.known),
             });
         }
         self.problems
@@ -76,7 +76,7 @@
         self.problems.push(problem);
     }
 
-    /// A text that has to be set: letters, digits, hyphens and underscores.
+    /// Reads a required name: 1 to 64 letters, digits, hyphens or underscores.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -88,12 +88,12 @@
         const EXPECTED: &str = "a name of 1 to 64 letters, digits, hyphens or underscores";
         let Some(text) = self.required(key, EXPECTED) else { return CompactString::default() };
         if !is_name(&text) {
-            self.malformed(key, &text, EXPECTED);
+            self.report_malformed(key, &text, EXPECTED);
         }
         text
     }
 
-    /// A secret that has to be set: at least 16 visible characters.
+    /// Reads a required secret: 16 to 256 visible ASCII characters.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -106,12 +106,12 @@
         let Some(text) = self.required(key, EXPECTED) else { return CompactString::default() };
         let visible = text.bytes().all(|byte| byte.is_ascii_graphic());
         if !visible || !(16..=256).contains(&text.len()) {
-            self.malformed(key, HIDDEN, EXPECTED);
+            self.report_malformed(key, REDACTED, EXPECTED);
         }
         text
     }
 
-    /// An address that has to be set.
+    /// Reads a required IP address with a port other than 0.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -125,7 +125,7 @@
         self.parse_address(key, &text)
     }
 
-    /// An address that may be left out.
+    /// Reads an optional IP address with a port other than 0.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -138,7 +138,7 @@
         Some(self.parse_address(key, &text))
     }
 
-    /// A list of addresses that may be left out.
+    /// Reads a list of addresses; empty if the key is not set.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -152,21 +152,21 @@
             None => return Vec::new(),
             Some(Node::Sequence(nodes)) => nodes,
             Some(node) => {
-                self.malformed(key, &node.to_compact_string(), EXPECTED);
+                self.report_malformed(key, &node.to_compact_string(), EXPECTED);
                 return Vec::new();
             }
         };
         let parse = |node: &Node| match node {
             Node::Scalar(text) => self.parse_address(key, text),
             node => {
-                self.malformed(key, &node.to_compact_string(), EXPECTED);
+                self.report_malformed(key, &node.to_compact_string(), EXPECTED);
                 unspecified()
             }
         };
         nodes.iter().map(parse).collect()
     }
 
-    /// One of several words, each with its meaning. The first is the default.
+    /// Reads one of several words and returns the value paired with it. The first is the default.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -181,11 +181,11 @@
         if let Some((_, value)) = choices.iter().find(|(word, _)| *word == text) {
             return *value;
         }
-        self.malformed(key, &text, &expected);
+        self.report_malformed(key, &text, &expected);
         choices[0].1
     }
 
-    /// A number without a unit.
+    /// Reads a whole number without a unit.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -197,15 +197,15 @@
         const EXPECTED: &str = "a whole number such as 64";
         let Some(text) = self.optional(key, EXPECTED) else { return default };
         match text.parse() {
-            Ok(number) => self.within(key, number, &text, range, "", default),
+            Ok(number) => self.check_range(key, number, &text, range, "", default),
             Err(_) => {
-                self.malformed(key, &text, EXPECTED);
+                self.report_malformed(key, &text, EXPECTED);
                 default
             }
         }
     }
 
-    /// Yes or no.
+    /// Reads `true` or `false`.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -218,13 +218,13 @@
         match text.parse() {
             Ok(flag) => flag,
             Err(_) => {
-                self.malformed(key, &text, EXPECTED);
+                self.report_malformed(key, &text, EXPECTED);
                 default
             }
         }
     }
 
-    /// A number with a decimal point that may be left out.
+    /// Reads an optional decimal number.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -239,7 +239,7 @@
         const EXPECTED: &str = "a number such as 0.2";
         let text = self.optional(key, EXPECTED)?;
         let Ok(number) = text.parse::<f64>() else {
-            self.malformed(key, &text, EXPECTED);
+            self.report_malformed(key, &text, EXPECTED);
             return None;
         };
         if !range.contains(&number) {
@@ -254,7 +254,7 @@
         Some(number)
     }
 
-    /// A size such as `64KiB`, in bytes.
+    /// Reads a size such as `64KiB`. The result is in bytes.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
@@ -266,23 +266,23 @@
         const EXPECTED: &str = "a size such as 512B, 64KiB or 8MiB";
         let Some(text) = self.optional(key, EXPECTED) else { return default };
         match parse_size(&text) {
-            Some(bytes) => self.within(key, bytes, &text, range, "B", default),
+            Some(bytes) => self.check_range(key, bytes, &text, range, "B", default),
             None => {
-                self.malformed(key, &text, EXPECTED);
+                self.report_malformed(key, &text, EXPECTED);
                 default
             }
         }
     }
 
-    /// A length of time such as `500ms`.
+    /// Reads a duration such as `500ms`.
     ///
     /// ```
     /// # use mustardpin_settings::{document::Document, reader::Reader};
     /// # use mustardpin_world::Millis;
     /// let mut reader = Reader::new(Document::parse("window: 2s").unwrap());
-    /// assert_eq!(reader.length("window", Millis(1), Millis(1)..=Millis(5_000)), Millis(2_000));
+    /// assert_eq!(reader.duration("window", Millis(1), Millis(1)..=Millis(5_000)), Millis(2_000));
     /// ```
-    pub fn length(
+    pub fn duration(
         &mut self,
         key: &'static str,
         default: Millis,
@@ -292,9 +292,11 @@
         let Some(text) = self.optional(key, EXPECTED) else { return default };
         let range = range.start().0..=range.end().0;
         match parse_duration(&text) {
-            Some(length) => Millis(self.within(key, length.0, &text, range, "ms", default.0)),
+            Some(duration) => {
+                Millis(self.check_range(key, duration.0, &text, range, "ms", default.0))
+            }
             None => {
-                self.malformed(key, &text, EXPECTED);
+                self.report_malformed(key, &text, EXPECTED);
                 default
             }
         }
@@ -309,22 +311,22 @@
         match self.take(key)? {
             Node::Scalar(text) => Some(text),
             node => {
-                self.malformed(key, &node.to_compact_string(), expected);
+                self.report_malformed(key, &node.to_compact_string(), expected);
                 None
             }
         }
     }
 
     fn required(&mut self, key: &'static str, expected: &str) -> Option<CompactString> {
-        let found = self.problems.len();
+        let problems_before = self.problems.len();
         let text = self.optional(key, expected);
-        if text.is_none() && self.problems.len() == found {
+        if text.is_none() && self.problems.len() == problems_before {
             self.report(Problem::Missing { key: key.into(), expected: expected.into() });
         }
         text
     }
 
-    fn malformed(&mut self, key: &str, value: &str, expected: &str) {
+    fn report_malformed(&mut self, key: &str, value: &str, expected: &str) {
         self.report(Problem::Malformed {
             key: key.into(),
             value: value.into(),
@@ -332,7 +334,7 @@
         });
     }
 
-    fn within(
+    fn check_range(
         &mut self,
         key: &'static str,
         number: u64,
@@ -357,14 +359,14 @@
         match text.parse::<SocketAddr>() {
             Ok(address) if address.port() != 0 => address,
             _ => {
-                self.malformed(key, text, "an address such as 127.0.0.1:7000");
+                self.report_malformed(key, text, "an address such as 127.0.0.1:7000");
                 unspecified()
             }
         }
     }
 }
 
-/// Parses a length of time with its unit: `ms`, `s` or `min`.
+/// Parses a duration with its unit: `ms`, `s` or `min`.
 ///
 /// ```
 /// use mustardpin_settings::reader::parse_duration;
@@ -383,8 +385,8 @@
         "min" => 60_000.0,
         _ => return None,
     };
-    let length = number * factor;
-    (length.is_finite() && length < MOST_MILLIS).then(|| Millis(length.round() as u64))
+    let millis = number * factor;
+    (millis.is_finite() && millis < MAX_MILLIS).then(|| Millis(millis.round() as u64))
 }
 
 /// Parses a size with its unit: `B`, `KiB` or `MiB`. The result is in bytes.
@@ -403,7 +405,7 @@
     digits.checked_mul(factor)
 }
 
-/// Whether a text can name a data centre, a service, a team, a route, a key or an exception.
+/// Whether a text is a valid name of a data centre, service, team, route, key or exception.
 ///
 /// ```
 /// assert!(mustardpin_settings::reader::is_name("slot-search"));
@@ -424,16 +426,16 @@
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-/// The value as it may stand in a message: nothing that may be a secret.
-fn shown(key: &str, value: &Node) -> CompactString {
-    if key.contains("credential") { HIDDEN.into() } else { value.to_compact_string() }
+/// The value as redact in error messages. Values of credentials are hidden.
+fn redact(key: &str, value: &Node) -> CompactString {
+    if key.contains("credential") { REDACTED.into() } else { value.to_compact_string() }
 }
 
-fn nearest(key: &str, known: &[&'static str]) -> Option<CompactString> {
+fn suggest_key(key: &str, known: &[&'static str]) -> Option<CompactString> {
     known
         .iter()
         .map(|known| (strsim::damerau_levenshtein(key, known), *known))
-        .filter(|(distance, _)| *distance <= NEAREST_DISTANCE)
+        .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE)
         .min()
         .map(|(_, known)| known.into())
 }
--- a/crates/mustardpin-settings/src/settings.rs
+++ b/crates/mustardpin-settings/src/settings.rs
@@ -17,50 +17,50 @@
 const KIB: u64 = 1 << 10;
 const MIB: u64 = 1 << 20;
 
-/// Everything a node is told when it starts.
+/// The settings of one node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// The name of the place that the process runs in. A process that takes its place has the same
+    /// The node name. It is kept over restarts: a process that replaces this one has the same
     /// name.
     pub name: CompactString,
     /// The name of the node's data centre.
     pub data_centre: CompactString,
     /// The service that the node's target belongs to.
     pub service: CompactString,
-    /// Where the node listens.
+    /// The addresses that the node listens on.
     pub addresses: Addresses,
-    /// What other nodes and operators have to show.
+    /// The credentials that other nodes and operators must present.
     pub credentials: Credentials,
-    /// Where and how the node asks the platform's store.
+    /// Access to the platform's store.
     pub platform: Platform,
-    /// Addresses of nodes to ask for peers while the store does not answer.
+    /// Addresses of nodes that are asked for peers while the store does not reply.
     pub seeds: Vec<SocketAddr>,
-    /// How log lines are written.
+    /// Level, format and rate of the log.
     pub log: Log,
-    /// What one process may use.
+    /// Resource limits and time-outs of the process.
     pub limits: Limits,
-    /// Options of the node's decisions.
+    /// Options of the node's control logic.
     pub options: Options,
 }
 
-/// Where a node listens.
+/// The addresses that a node listens on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// HTTP from callers.
+    /// HTTP requests from callers.
     pub callers: SocketAddr,
-    /// HTTP from the node's own target: its reports and the calls it makes.
+    /// HTTP requests from the local target: its reports and the calls it makes.
     pub local: Option<SocketAddr>,
-    /// HTTP from the node's own target: its reports only.
+    /// HTTP requests from the local target: its reports only.
     pub reports: Option<SocketAddr>,
-    /// Questions whether the node is ready.
+    /// Readiness probes.
     pub readiness: Option<SocketAddr>,
     /// Requests and messages from peers.
     pub peers: SocketAddr,
-    /// Where other nodes reach `peers`, if that is another address.
+    /// The address under which other nodes reach `peers`, if it differs from `peers`.
     pub announced: Option<SocketAddr>,
     /// The administration API.
     pub admin: Option<SocketAddr>,
-    /// Counters and histograms, for whoever collects them.
+    /// Counters and histograms, for a metrics collector.
     pub metrics: Option<SocketAddr>,
 }
 
@@ -97,12 +97,12 @@
     }
 }
 
-/// What other nodes and operators have to show.
+/// The credentials that other nodes and operators must present.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credentials {
     /// Shared by all nodes of the fleet.
     pub fleet: CompactString,
-    /// Shown by operators to the administration API. Without an address for the API there is none.
+    /// Presented by operators to the administration API. Empty if `addresses.admin` is not set.
     pub operator: CompactString,
 }
 
@@ -112,73 +112,73 @@
     }
 }
 
-/// Where and how a node asks the platform's store.
+/// Access to the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Platform {
-    /// The store.
+    /// The address of the store.
     pub address: SocketAddr,
-    /// How long the node waits for an answer, beyond the time that the store may hold a question.
+    /// The time-out of a store query, in addition to the time for which the store may hold a long
+    /// poll.
     pub timeout: Millis,
 }
 
-/// How log lines are written.
+/// Level, format and rate of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Log {
-    /// Lines below this level are left out.
+    /// The minimum level of the lines that are written.
     pub level: Level,
-    /// What a line looks like.
+    /// The format of a line.
     pub format: Format,
-    /// Lines a second at most. Those beyond are left out and counted.
+    /// The maximum number of lines per second. Lines beyond it are dropped and counted.
     pub lines_per_second: u32,
 }
 
-/// How severe a log line has to be.
+/// The minimum severity of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Decisions on requests, changes of state and worse.
+    /// Decisions on requests and changes of state, and everything more severe.
     Info,
-    /// What an operator should look at, and worse.
+    /// Conditions that an operator should look into, and errors.
     Warn,
-    /// What keeps the node from its work.
+    /// Failures that keep the node from working.
     Error,
 }
 
-/// What a log line looks like.
+/// The format of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     Text,
 }
 
-/// What one process may use.
+/// Resource limits and time-outs of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections at once, on each port.
+    /// The maximum number of open connections on each port.
     pub connections: usize,
-    /// Requests in progress at once.
+    /// The maximum number of requests in progress.
     pub requests: usize,
-    /// The size of a request's headers, in bytes.
+    /// The maximum size of a request's headers, in bytes.
     pub header_size: usize,
-    /// The size of a request's body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_size: usize,
-    /// The size of a body that is kept in memory so that it can be sent again, in bytes.
+    /// The maximum size of a body that is kept in memory for retries, in bytes.
     pub replay_size: usize,
-    /// The size of all request bodies kept in memory at once, in bytes.
+    /// The maximum total size of the request bodies kept in memory, in bytes.
     pub kept_size: usize,
-    /// How long a request's headers may take to come.
+    /// How long a request's headers may take to arrive.
     pub header_timeout: Millis,
     /// How long a sender may pause within a request's body.
     pub body_timeout: Millis,
     /// How long a connection may be idle.
     pub idle_timeout: Millis,
-    /// How long a leaving node goes on accepting requests on idle connections before it closes
-    /// them.
+    /// How long a draining node accepts requests on idle connections before it closes them.
     pub close_linger: Millis,
-    /// How long connections may take to end once a leaving node has finished all requests.
+    /// How long connections may take to close once a draining node has finished all requests.
     pub exit_grace: Millis,
-    /// Threads for traffic.
+    /// The number of threads that carry traffic.
     pub traffic_threads: usize,
 }
 
@@ -243,7 +243,7 @@
             },
             platform: Platform {
                 address: reader.address("platform.address"),
-                timeout: reader.length(
+                timeout: reader.duration(
                     "platform.timeout",
                     Millis::from_secs(1),
                     Millis(50)..=Millis::from_secs(30),
@@ -256,13 +256,13 @@
         }
     }
 
-    /// Checks values against each other.
+    /// Reports values of different keys that conflict.
     fn check(&self, reader: &mut Reader) {
         let entries: Vec<_> = self.addresses.entries().collect();
         for (index, (key, address)) in entries.iter().enumerate() {
             let earlier = entries[..index].iter().find(|(_, earlier)| earlier == address);
             let Some((other, _)) = earlier.filter(|_| address.port() != 0) else { continue };
-            reader.report(Problem::Clash {
+            reader.report(Problem::Conflict {
                 key: (*key).into(),
                 value: address.to_compact_string(),
                 other: (*other).into(),
@@ -271,7 +271,7 @@
         }
         let limit = &self.options.limit;
         if limit.least > limit.most {
-            reader.report(Problem::Clash {
+            reader.report(Problem::Conflict {
                 key: "limit.least".into(),
                 value: limit.least.to_compact_string(),
                 other: "limit.most".into(),
@@ -280,7 +280,7 @@
         }
         let freshness = &self.options.freshness;
         if freshness.watch >= freshness.window {
-            reader.report(Problem::Clash {
+            reader.report(Problem::Conflict {
                 key: "freshness.watch".into(),
                 value: freshness.watch.to_compact_string(),
                 other: "freshness.bound".into(),
@@ -301,7 +301,7 @@
 }
 
 fn read_limits(reader: &mut Reader) -> Limits {
-    let seconds = |least, most| Millis::from_secs(least)..=Millis::from_secs(most);
+    let seconds = |min, max| Millis::from_secs(min)..=Millis::from_secs(max);
     let timeouts = Millis(100)..=Millis::from_secs(120);
     Limits {
         connections: reader.count("limits.connections", 4_096, 1..=100_000) as usize,
@@ -310,23 +310,23 @@
         body_size: reader.size("limits.body-size", 8 * MIB, KIB..=1_024 * MIB) as usize,
         replay_size: reader.size("limits.replay-size", 64 * KIB, 0..=MIB) as usize,
         kept_size: reader.size("limits.kept-size", 64 * MIB, MIB..=1_024 * MIB) as usize,
-        header_timeout: reader.length(
+        header_timeout: reader.duration(
             "limits.header-timeout",
             Millis::from_secs(10),
             timeouts.clone(),
         ),
-        body_timeout: reader.length("limits.body-timeout", Millis::from_secs(10), timeouts),
-        idle_timeout: reader.length(
+        body_timeout: reader.duration("limits.body-timeout", Millis::from_secs(10), timeouts),
+        idle_timeout: reader.duration(
             "limits.idle-timeout",
             Millis::from_secs(60),
             seconds(1, 3_600),
         ),
-        close_linger: reader.length(
+        close_linger: reader.duration(
             "limits.close-linger",
             Millis::from_secs(1),
             Millis::ZERO..=Millis::from_secs(60),
         ),
-        exit_grace: reader.length(
+        exit_grace: reader.duration(
             "limits.exit-grace",
             Millis::from_secs(5),
             Millis(100)..=Millis::from_secs(600),
@@ -335,50 +335,51 @@
     }
 }
 
-/// Options that no key names, such as those for comparisons in measurements, keep their defaults.
+/// Options without a settings key, such as those for comparisons in measurements, keep their
+/// defaults.
 fn read_options(reader: &mut Reader) -> Options {
     let mut options = Options::default();
-    read_agreement(reader, &mut options);
-    read_presence(reader, &mut options);
-    read_work(reader, &mut options);
+    read_consistency(reader, &mut options);
+    read_membership(reader, &mut options);
+    read_request_handling(reader, &mut options);
     read_retry(reader, &mut options.retry);
     options
 }
 
-fn read_agreement(reader: &mut Reader, options: &mut Options) {
+fn read_consistency(reader: &mut Reader, options: &mut Options) {
     let bound = Millis::from_secs(3);
-    let bound = reader.length("freshness.bound", bound, Millis(500)..=Millis::from_secs(60));
+    let bound = reader.duration("freshness.bound", bound, Millis(500)..=Millis::from_secs(60));
     options.freshness.window = options::Freshness::window_within(bound);
     options.freshness.strict = reader.flag("freshness.strict", options.freshness.strict);
-    let mut length = |key, value: &mut Millis, least, most| {
-        *value = reader.length(key, *value, Millis(least)..=Millis(most));
+    let mut duration = |key, value: &mut Millis, min, max| {
+        *value = reader.duration(key, *value, Millis(min)..=Millis(max));
     };
     let Options { configuration, freshness, .. } = options;
-    length("configuration.proposal-timeout", &mut configuration.proposal_timeout, 500, 9_000);
-    length("configuration.settle-period", &mut configuration.settle_period, 50, 5_000);
-    length("freshness.watch", &mut freshness.watch, 100, 30_000);
+    duration("configuration.proposal-timeout", &mut configuration.proposal_timeout, 500, 9_000);
+    duration("configuration.settle-period", &mut configuration.settle_period, 50, 5_000);
+    duration("freshness.watch", &mut freshness.watch, 100, 30_000);
 }
 
-fn read_presence(reader: &mut Reader, options: &mut Options) {
-    let mut length = |key, value: &mut Millis, least, most| {
-        *value = reader.length(key, *value, Millis(least)..=Millis(most));
+fn read_membership(reader: &mut Reader, options: &mut Options) {
+    let mut duration = |key, value: &mut Millis, min, max| {
+        *value = reader.duration(key, *value, Millis(min)..=Millis(max));
     };
     let Options { fleet, roster, stop, target, .. } = options;
-    length("fleet.forget-after", &mut fleet.forget_after, 1_000, 3_600_000);
-    length("fleet.meet-within", &mut fleet.meet_within, 0, 60_000);
-    length("roster.patience", &mut roster.patience, 0, 60_000);
-    length("roster.spread", &mut roster.spread, 0, 60_000);
-    length("stop.stay", &mut stop.stay, 0, 60_000);
-    length("stop.grace", &mut stop.grace, 100, 3_600_000);
-    length("target.lost-after", &mut target.lost_after, 100, 600_000);
+    duration("fleet.forget-after", &mut fleet.forget_after, 1_000, 3_600_000);
+    duration("fleet.meet-within", &mut fleet.meet_within, 0, 60_000);
+    duration("roster.patience", &mut roster.patience, 0, 60_000);
+    duration("roster.spread", &mut roster.spread, 0, 60_000);
+    duration("stop.stay", &mut stop.stay, 0, 60_000);
+    duration("stop.grace", &mut stop.grace, 100, 3_600_000);
+    duration("target.lost-after", &mut target.lost_after, 100, 600_000);
 }
 
-fn read_work(reader: &mut Reader, options: &mut Options) {
+fn read_request_handling(reader: &mut Reader, options: &mut Options) {
     let Options { limit, queueing, shedding, rating, routing, quarantine, logging, .. } = options;
     let algorithms = [("adaptive", LimitAlgorithm::Adaptive), ("slots", LimitAlgorithm::Slots)];
     limit.algorithm = reader.choice("limit.algorithm", &algorithms);
-    let mut count = |key, value: &mut u32, least, most| {
-        *value = reader.count(key, (*value).into(), least..=most) as u32;
+    let mut count = |key, value: &mut u32, min, max| {
+        *value = reader.count(key, (*value).into(), min..=max) as u32;
     };
     count("limit.initial", &mut limit.initial, 1, 10_000);
     count("limit.least", &mut limit.least, 1, 10_000);
@@ -392,16 +393,16 @@
     queueing.capacity =
         reader.count("queueing.capacity", queueing.capacity as u64, 0..=65_536) as usize;
     routing.max_hops = reader.count("routing.max-hops", routing.max_hops.into(), 1..=8) as u8;
-    let mut length = |key, value: &mut Millis, least, most| {
-        *value = reader.length(key, *value, Millis(least)..=Millis(most));
+    let mut duration = |key, value: &mut Millis, min, max| {
+        *value = reader.duration(key, *value, Millis(min)..=Millis(max));
     };
-    length("queueing.wait", &mut queueing.wait, 0, 60_000);
-    length("queueing.nested-wait", &mut queueing.nested_wait, 0, 60_000);
-    length("rating.horizon", &mut rating.horizon, 10, 10_000);
-    length("rating.patience", &mut rating.patience, 0, 10_000);
-    length("rating.reply-within", &mut rating.reply_within, 10, 10_000);
-    length("routing.default-timeout", &mut routing.default_timeout, 10, 600_000);
-    length("routing.margin", &mut routing.margin, 0, 10_000);
+    duration("queueing.wait", &mut queueing.wait, 0, 60_000);
+    duration("queueing.nested-wait", &mut queueing.nested_wait, 0, 60_000);
+    duration("rating.horizon", &mut rating.horizon, 10, 10_000);
+    duration("rating.patience", &mut rating.patience, 0, 10_000);
+    duration("rating.reply-within", &mut rating.reply_within, 10, 10_000);
+    duration("routing.default-timeout", &mut routing.default_timeout, 10, 600_000);
+    duration("routing.margin", &mut routing.margin, 0, 10_000);
 }
 
 fn read_retry(reader: &mut Reader, retry: &mut options::Retry) {
@@ -410,14 +411,14 @@
     let slack = reader.count("retry.fleet-slack", 0, 0..=1_000_000) as u32;
     retry.fleet = ratio
         .map(|ratio| options::FleetRetries { permille: (ratio * 1_000.0).round() as u32, slack });
-    let mut count = |key, value: &mut u32, least, most| {
-        *value = reader.count(key, (*value).into(), least..=most) as u32;
+    let mut count = |key, value: &mut u32, min, max| {
+        *value = reader.count(key, (*value).into(), min..=max) as u32;
     };
     count("retry.ratio-percent", &mut retry.ratio_percent, 0, 100);
     count("retry.ratio-burst", &mut retry.ratio_burst, 0, 10_000);
     count("retry.resend-percent", &mut retry.resend_percent, 0, 100);
     count("retry.resend-burst", &mut retry.resend_burst, 0, 10_000);
-    let most = Millis::from_secs(600);
+    let max_window = Millis::from_secs(600);
     retry.resend_window =
-        reader.length("retry.resend-window", retry.resend_window, Millis::ZERO..=most);
+        reader.duration("retry.resend-window", retry.resend_window, Millis::ZERO..=max_window);
 }
--- a/crates/mustardpin-settings/tests/testsuite/settings.rs
+++ b/crates/mustardpin-settings/tests/testsuite/settings.rs
@@ -1,4 +1,5 @@
-//! The example loads, and every kind of error names file, key, value and remedy.
+//! The example file loads, and every kind of error names the file, the key, the value and the
+//! remedy.
 
 use std::path::Path;
 
@@ -10,7 +11,7 @@
     Settings::parse(Path::new("node.yaml"), yaml).expect_err("the settings are wrong").to_string()
 }
 
-/// The example with some lines replaced.
+/// Returns the example file with some texts replaced.
 fn example_with(replacements: &[(&str, &str)]) -> String {
     replacements.iter().fold(EXAMPLE.to_owned(), |yaml, (from, to)| {
         assert!(yaml.contains(from), "the example has no line {from:?}");
@@ -24,21 +25,22 @@
     insta::assert_debug_snapshot!(settings);
 }
 
-/// Keys that are not set unless a value is given, so that the example shows no default.
-const UNSET: [&str; 4] = ["  reports:", "  readiness:", "  metrics:", "  fleet-ratio:"];
+/// Keys without a default: the values in their commented lines are only examples.
+const KEYS_WITHOUT_DEFAULT: [&str; 4] =
+    ["  reports:", "  readiness:", "  metrics:", "  fleet-ratio:"];
 
 #[test]
 fn commented_lines_of_the_example_show_the_defaults() {
     let uncommented: String = EXAMPLE
         .lines()
         .map(|line| match line.trim_start().strip_prefix('#') {
-            // Of a section, or within one.
+            // A key of a commented section, or a commented key of a section that is set.
             Some(rest) if line.starts_with("#   ") => rest[1..].to_owned(),
             Some(rest) if line.starts_with("  # ") => format!("  {}", rest.trim_start()),
             Some(rest) if line.ends_with(':') && !rest[1..].contains(' ') => rest[1..].to_owned(),
             _ => line.to_owned(),
         })
-        .filter(|line| !UNSET.iter().any(|unset| line.starts_with(unset)))
+        .filter(|line| !KEYS_WITHOUT_DEFAULT.iter().any(|unset| line.starts_with(unset)))
         .map(|line| line + "\n")
         .collect();
     assert!(uncommented.contains("\nrouting:\n  max-hops: 3\n"), "{uncommented}");
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn malformed_yaml_names_file_and_place() {
+fn malformed_yaml_is_reported_with_file_and_line() {
     let error = Settings::parse(Path::new("node.yaml"), "a: [1,\nb: 2").unwrap_err();
     let source = std::error::Error::source(&error).unwrap().to_string();
     assert_eq!(error.to_string(), "settings file node.yaml is not well-formed YAML");
@@ -98,14 +100,14 @@
 }
 
 #[test]
-fn a_key_given_twice_is_refused() {
+fn a_duplicate_key_is_rejected() {
     let error = Settings::parse(Path::new("node.yaml"), "service: a\nservice: b\n").unwrap_err();
     let source = std::error::Error::source(&error).unwrap().to_string();
     assert!(source.contains("service"), "{source}");
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn a_missing_file_is_reported_by_name() {
     let error = Settings::load(Path::new("no-such-file.yaml")).unwrap_err();
     assert_eq!(error.to_string(), "cannot read settings file no-such-file.yaml");
 }
