--- a/crates/mustardpin-standin/src/arguments.rs
+++ b/crates/mustardpin-standin/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Reads the arguments of the stand-ins.
+//! Parsing of command-line arguments, shared by the stand-ins.
 
 use std::{net::SocketAddr, process::ExitCode, str::FromStr, time::Duration};
 
@@ -8,29 +8,29 @@
 /// The exit code for wrong arguments.
 pub const USAGE_EXIT_CODE: u8 = 2;
 
-/// Why the arguments were not accepted.
+/// An error in the command-line arguments.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// An unknown option, or a value that cannot be read.
+    /// An unknown option, or a value that cannot be parsed.
     #[display("{_0}")]
     Lexopt(lexopt::Error),
-    /// An option that is needed is missing.
+    /// A required option is missing.
     #[display("{_0} is missing; see --help")]
     #[from(skip)]
     Missing(#[error(not(source))] &'static str),
     /// A value is malformed.
     #[display("{option}: `{value}` is not {expected}")]
     Malformed {
-        /// The option.
+        /// The option, with its dashes.
         option: &'static str,
-        /// Its value.
+        /// The value as given.
         value: String,
-        /// What it has to be.
+        /// The form that the value must have.
         expected: &'static str,
     },
 }
 
-/// The value of the option just read.
+/// Parses the value of the option just read.
 pub fn value<T>(parser: &mut lexopt::Parser) -> Result<T, Error>
 where
     T: FromStr,
@@ -39,12 +39,12 @@
     Ok(parser.value()?.parse()?)
 }
 
-/// The value of the option just read, in milliseconds.
+/// Parses the value of the option just read as a number of milliseconds.
 pub fn millis(parser: &mut lexopt::Parser) -> Result<Duration, Error> {
     Ok(Duration::from_millis(value(parser)?))
 }
 
-/// An address that has to be there.
+/// Unwraps the address of a required option.
 ///
 /// ```
 /// use mustardpin_standin::arguments::{Error, required};
@@ -54,8 +54,8 @@
     address.ok_or(Error::Missing(option))
 }
 
-/// Prints why the arguments were not accepted, and gives the exit code.
-pub fn usage(program: &str, error: &Error) -> ExitCode {
+/// Prints an error in the arguments to standard error and returns the exit code.
+pub fn report_usage_error(program: &str, error: &Error) -> ExitCode {
     eprintln!("{program}: {error}");
     ExitCode::from(USAGE_EXIT_CODE)
 }
--- a/crates/mustardpin-standin/src/bin/load-generator.rs
+++ b/crates/mustardpin-standin/src/bin/load-generator.rs
@@ -1,4 +1,4 @@
-//! Sends load to nodes and checks every answer.
+//! Sends load to nodes and checks every response.
 
 use std::process::ExitCode;
 
@@ -12,7 +12,7 @@
     let arguments = match Arguments::parse(&mut lexopt::Parser::from_env()) {
         Ok(Some(arguments)) => arguments,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(error) => return arguments::usage("load-generator", &error),
+        Err(error) => return arguments::report_usage_error("load-generator", &error),
     };
     let report = load::run(arguments).await;
     print!("{report}");
--- a/crates/mustardpin-standin/src/bin/platform-standin.rs
+++ b/crates/mustardpin-standin/src/bin/platform-standin.rs
@@ -1,4 +1,4 @@
-//! Stands in for the platform.
+//! A stand-in for the platform's store.
 
 use std::process::ExitCode;
 
@@ -9,7 +9,7 @@
     let arguments = match platform::Arguments::parse(&mut lexopt::Parser::from_env()) {
         Ok(Some(arguments)) => arguments,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(error) => return arguments::usage("platform-standin", &error),
+        Err(error) => return arguments::report_usage_error("platform-standin", &error),
     };
     match platform::run(arguments).await {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/mustardpin-standin/src/bin/target-standin.rs
+++ b/crates/mustardpin-standin/src/bin/target-standin.rs
@@ -1,4 +1,4 @@
-//! Stands in for a target.
+//! A stand-in for a target.
 
 use std::process::ExitCode;
 
@@ -12,7 +12,7 @@
     let arguments = match Arguments::parse(&mut lexopt::Parser::from_env()) {
         Ok(Some(arguments)) => arguments,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(error) => return arguments::usage("target-standin", &error),
+        Err(error) => return arguments::report_usage_error("target-standin", &error),
     };
     let address = arguments.address;
     match target::run(arguments).await {
--- a/crates/mustardpin-standin/src/control.rs
+++ b/crates/mustardpin-standin/src/control.rs
@@ -1,13 +1,13 @@
-//! The control thread: owns the tables of a program and runs over what has happened.
+//! The control thread: owns the tables of a program and applies events to them.
 
 use std::{sync::mpsc, thread};
 
-/// The tables of a program, and what is done to them each tick.
+/// The tables of a program and the system that runs over them each tick.
 pub trait Control: Send + 'static {
-    /// Something that happened on the traffic side.
+    /// An event or a query from the traffic tasks.
     type Event: Send + 'static;
 
-    /// Takes in all events since the last tick.
+    /// Handles all events since the last tick, in the order of their arrival.
     fn tick(&mut self, events: Vec<Self::Event>);
 }
 
@@ -24,13 +24,13 @@
 }
 
 impl<E> Handle<E> {
-    /// Sends an event. It is lost if the program is ending.
+    /// Sends an event. It is dropped if the control thread has ended.
     pub fn send(&self, event: E) {
         let _ended = self.events.send(event);
     }
 }
 
-/// Starts the control thread. It ends when the last handle is gone, and gives the tables back.
+/// Starts the control thread. It ends when the last handle is dropped, and returns the tables.
 ///
 /// ```
 /// use mustardpin_standin::control::{self, Control};
--- a/crates/mustardpin-standin/src/http.rs
+++ b/crates/mustardpin-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as the stand-ins use it: a server, a client and bodies.
+//! HTTP for the stand-ins: a server, a client and bodies.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,74 +16,74 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The largest JSON body that is read, in bytes.
-const JSON_SIZE_LIMIT: usize = 64 << 20;
+/// The maximum size of a JSON body, in bytes.
+const MAX_JSON_SIZE: usize = 64 << 20;
 
-/// How long a helper call such as an announcement may take.
+/// The time-out of a JSON [`call`] up to the head of the response, and again for its body.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The connection is closed in place of an answer, or in the middle of one.
+/// The connection is closed instead of sending a response, or in the middle of one.
 #[derive(Debug, Clone, Copy, Display, Error)]
-#[display("the connection is cut on purpose")]
-pub struct Cut;
+#[display("the connection is closed on purpose")]
+pub struct Aborted;
 
-/// A body whose end may be a [`Cut`].
-pub type Body = BoxBody<Bytes, Cut>;
+/// A response body that may end with [`Aborted`].
+pub type Body = BoxBody<Bytes, Aborted>;
 
-/// A client that keeps connections open.
+/// An HTTP client that reuses connections.
 pub type Caller = Client<HttpConnector, Full<Bytes>>;
 
-/// Why a JSON call failed.
+/// An error of a JSON [`call`].
 #[derive(Debug, Display, Error, From)]
 pub enum CallError {
     /// The request could not be built.
     #[display("the request is malformed")]
     Request(http::Error),
-    /// No answer came.
+    /// The request failed before the head of a response arrived.
     #[display("no answer")]
     Client(hyper_util::client::legacy::Error),
-    /// The answer broke off.
+    /// The response body was truncated.
     #[display("the answer broke off")]
     Body(hyper::Error),
-    /// The answer or the question is not the JSON that it has to be.
+    /// The request could not be serialized, or the response does not have the expected form.
     #[display("unexpected JSON")]
     Json(serde_json::Error),
-    /// Another status than 200.
+    /// The status of the response is not a success.
     #[display("status {_0}")]
     #[from(skip)]
     Status(#[error(not(source))] StatusCode),
-    /// No answer within [`CALL_TIMEOUT`].
+    /// No response, or not its complete body, within [`CALL_TIMEOUT`].
     #[display("no answer in time")]
     Timeout(tokio::time::error::Elapsed),
 }
 
-/// Answers requests. Behind a trait object so that the server serves every stand-in.
+/// Handles the requests of a server. A trait object, so that one server serves every stand-in.
 pub trait Handler: Send + Sync + 'static {
-    /// The answer, or [`Cut`] to close the connection without one.
+    /// Returns the response, or [`Aborted`] to close the connection without one.
     fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Response<Body>, Cut>>;
+    ) -> BoxFuture<'static, Result<Response<Body>, Aborted>>;
 }
 
-/// Accepts connections until the process ends.
-pub async fn serve(listener: TcpListener, front: Arc<dyn Handler>) {
+/// Accepts and serves connections until the process ends.
+pub async fn serve(listener: TcpListener, handler: Arc<dyn Handler>) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(serve_connection(stream, Arc::clone(&front)))),
+            Ok((stream, _)) => drop(tokio::spawn(serve_connection(stream, Arc::clone(&handler)))),
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
         }
     }
 }
 
-async fn serve_connection(stream: TcpStream, front: Arc<dyn Handler>) {
+async fn serve_connection(stream: TcpStream, handler: Arc<dyn Handler>) {
     let _nagle_stays_on = stream.set_nodelay(true);
-    let service = service_fn(move |request| Arc::clone(&front).respond(request));
+    let service = service_fn(move |request| Arc::clone(&handler).respond(request));
     let builder = auto::Builder::new(TokioExecutor::new());
-    let _cut_or_closed = builder.serve_connection(TokioIo::new(stream), service).await;
+    let _aborted_or_closed = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// A client for HTTP/1.1, or for HTTP/2 without an upgrade.
+/// Creates a client for HTTP/1.1, or for HTTP/2 with prior knowledge.
 pub fn caller(http2: bool) -> Caller {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
@@ -91,7 +91,7 @@
     Client::builder(TokioExecutor::new()).http2_only(http2).build(connector)
 }
 
-/// A whole body of these bytes.
+/// Creates a body that holds these bytes.
 ///
 /// ```
 /// use http_body_util::BodyExt as _;
@@ -104,7 +104,7 @@
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 ///
 /// ```
 /// use http::StatusCode;
@@ -124,7 +124,7 @@
     }
 }
 
-/// An answer with a text body.
+/// Creates a response with a text body.
 ///
 /// ```
 /// use http::StatusCode;
@@ -137,9 +137,9 @@
     response
 }
 
-/// Reads a JSON body. The error is an answer with status 400 or 413.
+/// Reads and parses a JSON body. The error is a response with status 400 or 413.
 pub async fn read_json<T: DeserializeOwned>(body: Incoming) -> Result<T, Response<Body>> {
-    let limited = http_body_util::Limited::new(body, JSON_SIZE_LIMIT);
+    let limited = http_body_util::Limited::new(body, MAX_JSON_SIZE);
     let bytes = match limited.collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(error) => return Err(text(StatusCode::PAYLOAD_TOO_LARGE, error.to_string())),
@@ -147,7 +147,8 @@
     serde_json::from_slice(&bytes).map_err(|error| text(StatusCode::BAD_REQUEST, error.to_string()))
 }
 
-/// Sends JSON and reads JSON.
+/// Sends a request with a JSON body and parses the JSON body of the response. An empty response
+/// body is read as `null`.
 pub async fn call<T: DeserializeOwned>(
     caller: &Caller,
     method: &str,
--- a/crates/mustardpin-standin/src/load.rs
+++ b/crates/mustardpin-standin/src/load.rs
@@ -1,6 +1,6 @@
-//! The load generator: open-loop load from several teams, and a report of what came back.
+//! The load generator: sends open-loop load from several teams and reports the results.
 //!
-//! Traffic tasks send requests and hand a sample of each to the control thread, which owns the
+//! Traffic tasks send requests and pass a sample of each to the control thread, which owns the
 //! tables of the report.
 
 pub mod arguments;
@@ -28,15 +28,15 @@
     },
 };
 
-/// Requests that may be on their way at once.
-const IN_FLIGHT_LIMIT: usize = 4_000;
+/// The maximum number of requests in flight. Requests that are due beyond it are not sent.
+const MAX_IN_FLIGHT: usize = 4_000;
 
-/// Sends the load and reports what came back.
+/// Sends the load, inspects the target stand-ins and returns the report.
 pub async fn run(arguments: Arguments) -> Report {
     let arguments = Arc::new(arguments);
     let (handle, thread) = control::start(Tally::new(&arguments));
     let started = Instant::now();
-    let permits = Arc::new(Semaphore::new(IN_FLIGHT_LIMIT));
+    let permits = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
     let sender = Arc::new(Sender::new(Arc::clone(&arguments), handle.clone()));
     let mut teams = JoinSet::new();
     for index in 0..arguments.teams.len() {
@@ -58,7 +58,7 @@
     Report::new(&arguments, tally, inspection, elapsed)
 }
 
-/// The arrivals of one team.
+/// Generates the requests of one team.
 struct Source {
     arguments: Arc<Arguments>,
     sender: Arc<Sender>,
@@ -68,7 +68,7 @@
 }
 
 impl Source {
-    /// Sends at exponentially distributed intervals, and waits for the answers.
+    /// Sends requests at exponentially distributed intervals, then waits for all to end.
     async fn run(self, started: Instant) {
         let rate = self.arguments.teams[self.team.0].rate;
         if rate <= 0.0 {
@@ -87,11 +87,11 @@
             tokio::time::sleep_until((started + due).into()).await;
             while requests.try_join_next().is_some() {}
             let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else {
-                self.handle.send(Event::Unsent(self.team));
+                self.handle.send(Event::NotSent(self.team));
                 continue;
             };
             number += 1;
-            let route = self.arguments.draw_route(rng.random());
+            let route = self.arguments.select_route(rng.random());
             let job = Job { team: self.team, route, number, due: started + due };
             let sender = Arc::clone(&self.sender);
             requests.spawn(async move {
@@ -104,8 +104,8 @@
 }
 
 impl Arguments {
-    /// A route drawn by weight from a number between zero and one.
-    fn draw_route(&self, uniform: f64) -> RouteKey {
+    /// Selects a route by weight. `uniform` is a random number from 0 to 1.
+    fn select_route(&self, uniform: f64) -> RouteKey {
         let total: f64 = self.routes.iter().map(|route| route.weight).sum();
         let mut left = uniform * total;
         for (index, route) in self.routes.iter().enumerate() {
--- a/crates/mustardpin-standin/src/load/arguments.rs
+++ b/crates/mustardpin-standin/src/load/arguments.rs
@@ -1,4 +1,4 @@
-//! What the load generator is told when it starts.
+//! The command-line arguments of the load generator.
 
 use std::{net::SocketAddr, path::PathBuf, str::FromStr, time::Duration};
 
@@ -7,7 +7,7 @@
 use crate::arguments::{Error, millis, value};
 
 const HELP: &str = "\
-Sends open-loop load to nodes, checks every answer and prints what came back.
+Sends open-loop load to nodes, checks every response and prints a report.
 
 Usage: load-generator --entry IP:PORT --team NAME,KEY,RATE --route 'WEIGHT METHOD PATH' [options]
 
@@ -18,30 +18,30 @@
                          a route; `once` sends an idempotency key, `open` is open to all;
                          may be repeated
   --seconds N            how long to send (10)
-  --deadline-ms N        the time left that goes with each request (2000)
-  --retries N            sends a failed request again this many times at once (0)
+  --deadline-ms N        the remaining time that is sent with each request (2000)
+  --retries N            immediate retries of a failed request (0)
   --http2                speaks HTTP/2
   --seed N               decides arrivals and routes (1)
   --withdrawn TEAM=FILE  once FILE exists, the team's key counts as withdrawn
   --inspect IP:PORT      a target stand-in to ask afterwards what it ran; may be repeated
-  --strict-cuts          requests cut off without an answer count as a broken promise
+  --strict-cuts          requests cut off without a response count as a broken promise
   --help                 this text
 
 Exit codes: 0 no promise was broken; 1 a promise was broken; 2 wrong arguments.
-A promise is broken by an answer that is not whole or belongs to another request, by a key that a
-target saw, by a non-repeatable request that ran twice, or ran though it was refused as not run,
+A promise is broken by a response that is incomplete or belongs to another request, by a key that
+a target saw, by a non-repeatable request that ran twice, or ran though it was refused as not run,
 and by a request that was sent more than 3 s after its key was withdrawn and ran all the same.";
 
 /// A team that sends requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// The team's name, which is also part of the names of its requests.
     pub name: CompactString,
-    /// Its tenant key.
+    /// The tenant key, or `None` to send requests without one.
     pub key: Option<CompactString>,
-    /// Requests a second.
+    /// The mean arrival rate, in requests per second.
     pub rate: f64,
-    /// Its key counts as withdrawn once this file exists.
+    /// The key counts as withdrawn once this file exists, from its modification time on.
     pub withdrawal_file: Option<PathBuf>,
 }
 
@@ -59,18 +59,18 @@
     }
 }
 
-/// A kind of request.
+/// A kind of request to send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// How often it is drawn, relative to the others.
+    /// Its share of the requests, relative to the weights of the other routes.
     pub weight: f64,
     /// The HTTP method.
     pub method: CompactString,
-    /// The path, with a query if need be.
+    /// The path, with an optional query.
     pub path: CompactString,
-    /// Whether it is non-repeatable and goes with an idempotency key.
+    /// Whether it is non-repeatable and sent with an idempotency key.
     pub once: bool,
-    /// Whether it is open to all, with any key and without.
+    /// Whether it is public: served with any key and without one.
     pub open: bool,
 }
 
@@ -90,28 +90,28 @@
     }
 }
 
-/// What the load generator is told when it starts.
+/// The command-line arguments of the load generator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arguments {
-    /// Where callers reach nodes.
+    /// Addresses of nodes for callers, used round-robin.
     pub entries: Vec<SocketAddr>,
-    /// Who sends.
+    /// The teams that send requests.
     pub teams: Vec<Team>,
-    /// What is sent.
+    /// The routes that requests are sent to.
     pub routes: Vec<Route>,
-    /// How long to send.
+    /// How long requests are sent.
     pub duration: Duration,
-    /// The time left that goes with each request.
+    /// The remaining time that is sent with each request.
     pub deadline: Duration,
-    /// How often a failed request is sent again.
+    /// The maximum number of retries of a failed request.
     pub retries: u32,
-    /// Whether to speak HTTP/2.
+    /// Whether to use HTTP/2 instead of HTTP/1.1.
     pub http2: bool,
-    /// Decides arrivals and routes.
+    /// The seed of the random numbers that determine arrivals and routes.
     pub seed: u64,
-    /// Target stand-ins to ask what they ran.
+    /// Addresses of target stand-ins that are asked afterwards what they ran.
     pub inspected: Vec<SocketAddr>,
-    /// Whether a request without an answer counts as a broken promise.
+    /// Whether a request that was cut off without a response counts as a broken promise.
     pub strict_cuts: bool,
 }
 
@@ -133,12 +133,12 @@
 }
 
 impl Arguments {
-    /// Reads the arguments; `None` if only the help text was asked for.
+    /// Parses the arguments. Returns `None` if `--help` was given, after printing the help text.
     pub fn parse(parser: &mut lexopt::Parser) -> Result<Option<Arguments>, Error> {
         use lexopt::Arg::Long;
 
         let mut arguments = Arguments::default();
-        let mut marks: Vec<String> = Vec::new();
+        let mut assignments: Vec<String> = Vec::new();
         while let Some(argument) = parser.next()? {
             match argument {
                 Long("entry") => arguments.entries.push(value(parser)?),
@@ -149,7 +149,7 @@
                 Long("retries") => arguments.retries = value(parser)?,
                 Long("http2") => arguments.http2 = true,
                 Long("seed") => arguments.seed = value(parser)?,
-                Long("withdrawn") => marks.push(value(parser)?),
+                Long("withdrawn") => assignments.push(value(parser)?),
                 Long("inspect") => arguments.inspected.push(value(parser)?),
                 Long("strict-cuts") => arguments.strict_cuts = true,
                 Long("help") => {
@@ -159,15 +159,15 @@
                 argument => return Err(argument.unexpected().into()),
             }
         }
-        for mark in marks {
-            arguments.mark(mark)?;
+        for assignment in assignments {
+            arguments.set_withdrawal_file(assignment)?;
         }
         arguments.check()?;
         Ok(Some(arguments))
     }
 
-    fn mark(&mut self, mark: String) -> Result<(), Error> {
-        let found = mark.split_once('=').and_then(|(name, file)| {
+    fn set_withdrawal_file(&mut self, assignment: String) -> Result<(), Error> {
+        let found = assignment.split_once('=').and_then(|(name, file)| {
             let team = self.teams.iter_mut().find(|team| team.name == name)?;
             Some((team, file))
         });
@@ -176,7 +176,7 @@
             None => {
                 return Err(Error::Malformed {
                     option: "--withdrawn",
-                    value: mark,
+                    value: assignment,
                     expected: "TEAM=FILE with a team of this load",
                 });
             }
--- a/crates/mustardpin-standin/src/load/inspect.rs
+++ b/crates/mustardpin-standin/src/load/inspect.rs
@@ -1,4 +1,4 @@
-//! Asks target stand-ins what they ran and checks it against the promises.
+//! Queries target stand-ins for the requests they ran and checks these against the promises.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -13,27 +13,27 @@
     target::run::{Report, Run},
 };
 
-/// What the targets ran.
+/// The results of querying all target stand-ins.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Inspection {
-    /// Requests run.
+    /// The number of requests that the targets ran.
     pub ran: usize,
-    /// Requests declined.
+    /// The number of requests that the targets declined.
     pub declined: u64,
-    /// Runs cancelled.
+    /// The number of runs whose caller disconnected before the end.
     pub cancelled: u64,
-    /// Headers in which a target saw a tenant key.
+    /// The number of headers in which a target received a tenant key.
     pub keys_seen: usize,
-    /// Non-repeatable requests that ran more than once.
+    /// The idempotency keys of non-repeatable requests that ran more than once.
     pub run_twice: Vec<CompactString>,
-    /// Non-repeatable requests that ran in spite of refusals that said otherwise.
-    pub run_though_refused: usize,
-    /// Targets that did not answer.
-    pub silent: Vec<SocketAddr>,
+    /// The number of non-repeatable requests that ran although they were refused as not run.
+    pub run_despite_refusal: usize,
+    /// The targets that did not respond.
+    pub unresponsive: Vec<SocketAddr>,
 }
 
-/// Asks all targets named in the arguments. `not_run` are the idempotency keys of requests that
-/// were refused as not run.
+/// Queries all targets named in the arguments. `not_run` holds the idempotency keys of requests
+/// that were refused as not run.
 pub async fn inspect(arguments: &Arguments, not_run: &[CompactString]) -> Inspection {
     let caller = http::caller(false);
     let mut inspection = Inspection::default();
@@ -45,23 +45,23 @@
                 inspection.cancelled += report.cancelled;
                 runs.extend(report.ran);
             }
-            Err(_) => inspection.silent.push(address),
+            Err(_) => inspection.unresponsive.push(address),
         }
     }
     let keys: Vec<_> = arguments.teams.iter().filter_map(|team| team.key.as_deref()).collect();
     inspection.ran = runs.len();
     inspection.keys_seen = keys_seen(&runs, &keys);
     inspection.run_twice = run_twice(&runs);
-    inspection.run_though_refused = count_runs(&runs, not_run);
+    inspection.run_despite_refusal = count_runs(&runs, not_run);
     inspection
 }
 
-/// Asks one target what it ran.
+/// Queries one target for the requests it ran.
 pub async fn report(caller: &Caller, address: SocketAddr) -> Result<Report, CallError> {
     http::call(caller, "GET", address, "/standin/ran", None::<&()>).await
 }
 
-/// Headers in which a target saw one of the keys, or its secret part.
+/// Counts the headers that contain one of the keys, or its secret part.
 ///
 /// ```
 /// assert_eq!(mustardpin_standin::load::inspect::keys_seen(&[], &["garage-1.s3cret"]), 0);
@@ -73,7 +73,7 @@
     headers.filter(|header| secrets.iter().any(|secret| header.value.contains(secret))).count()
 }
 
-/// How many of the idempotency keys ran.
+/// Counts the idempotency keys under which a request ran.
 ///
 /// ```
 /// assert_eq!(mustardpin_standin::load::inspect::count_runs(&[], &["booking-1".into()]), 0);
@@ -84,7 +84,7 @@
     keys.iter().filter(|key| ran.contains(key)).count()
 }
 
-/// The idempotency keys that ran more than once on the same path.
+/// Returns the idempotency keys under which more than one request ran on the same path.
 ///
 /// ```
 /// assert!(mustardpin_standin::load::inspect::run_twice(&[]).is_empty());
--- a/crates/mustardpin-standin/src/load/report.rs
+++ b/crates/mustardpin-standin/src/load/report.rs
@@ -1,42 +1,42 @@
-//! The report of a load: tables for people, and the promises that were broken.
+//! The report of a load: human-readable tables and the broken promises.
 
 use std::{fmt, time::Duration};
 
 use crate::load::{
     arguments::Arguments,
     inspect::Inspection,
-    tally::{CUT_OFF, FLAWED, RAN_AFTER_WITHDRAWAL, Row, Tally},
+    tally::{CUT_OFF, INVALID_RESPONSE, RAN_AFTER_WITHDRAWAL, Row, Tally},
 };
 
-/// The report of a load.
+/// The report of a load. Its `Display` output is what the load generator prints.
 #[derive(Debug, Clone)]
 pub struct Report {
     tally: Tally,
     inspection: Inspection,
     inspected: bool,
     elapsed: Duration,
-    broken: Vec<String>,
+    broken_promises: Vec<String>,
 }
 
 impl Report {
-    /// A report on these tables.
+    /// Creates a report from the tables and the inspection of the targets.
     pub fn new(
         arguments: &Arguments,
         tally: Tally,
         inspection: Inspection,
         elapsed: Duration,
     ) -> Report {
-        let broken = find_broken_promises(arguments, &tally, &inspection);
+        let broken_promises = find_broken_promises(arguments, &tally, &inspection);
         let inspected = !arguments.inspected.is_empty();
-        Report { tally, inspection, inspected, elapsed, broken }
+        Report { tally, inspection, inspected, elapsed, broken_promises }
     }
 
-    /// The promises that were broken, a sentence each.
+    /// The broken promises, one clause with its count for each.
     pub fn broken_promises(&self) -> &[String] {
-        &self.broken
+        &self.broken_promises
     }
 
-    /// The tables behind the report.
+    /// The tables from which the report is printed.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
@@ -47,42 +47,42 @@
     tally: &Tally,
     inspection: &Inspection,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut judge = |count: u64, what: &str| {
+    let mut broken_promises = Vec::new();
+    let mut add = |count: u64, violation: &str| {
         if count > 0 {
-            broken.push(format!("{count} {what}"));
+            broken_promises.push(format!("{count} {violation}"));
         }
     };
-    let flawed = tally.failures.iter().filter(|(kind, _)| kind.starts_with(FLAWED));
-    judge(flawed.map(|(_, count)| count).sum(), "answers were not whole or not the right ones");
-    judge(
+    let invalid = tally.failures.iter().filter(|(kind, _)| kind.starts_with(INVALID_RESPONSE));
+    add(invalid.map(|(_, count)| count).sum(), "responses were incomplete or not the right ones");
+    add(
         tally.failures_of(RAN_AFTER_WITHDRAWAL),
         "requests ran more than 3 s after their key was withdrawn",
     );
     if arguments.strict_cuts {
-        judge(tally.failures_of(CUT_OFF), "requests were cut off");
+        add(tally.failures_of(CUT_OFF), "requests were cut off");
     }
-    judge(inspection.keys_seen as u64, "headers showed a target a tenant key");
-    judge(inspection.run_twice.len() as u64, "non-repeatable requests ran more than once");
-    judge(
-        inspection.run_though_refused as u64,
+    add(inspection.keys_seen as u64, "headers showed a target a tenant key");
+    add(inspection.run_twice.len() as u64, "non-repeatable requests ran more than once");
+    add(
+        inspection.run_despite_refusal as u64,
         "non-repeatable requests ran though they were refused as not run",
     );
-    judge(inspection.silent.len() as u64, "targets did not say what they ran");
-    broken
+    add(inspection.unresponsive.len() as u64, "targets did not report what they ran");
+    broken_promises
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = self.elapsed.as_secs_f64().max(0.001);
         let due: u64 = self.tally.teams.iter().map(|row| row.due).sum();
-        let whole: u64 = self.tally.teams.iter().map(|row| row.whole).sum();
+        let complete: u64 = self.tally.teams.iter().map(|row| row.complete).sum();
         writeln!(
             f,
             "{due} requests due in {seconds:.1} s, sent {} times, {} not sent",
-            self.tally.attempts, self.tally.unsent
+            self.tally.attempts, self.tally.not_sent
         )?;
-        writeln!(f, "goodput {:.0} whole answers a second", whole as f64 / seconds)?;
+        writeln!(f, "goodput {:.0} whole answers a second", complete as f64 / seconds)?;
         table(f, "team", &self.tally.teams)?;
         table(f, "route", &self.tally.routes)?;
         self.refusals(f)?;
@@ -94,10 +94,10 @@
             )?;
         }
         writeln!(f)?;
-        for promise in &self.broken {
+        for promise in &self.broken_promises {
             writeln!(f, "BROKEN PROMISE: {promise}")?;
         }
-        if self.broken.is_empty() {
+        if self.broken_promises.is_empty() {
             writeln!(f, "no promise was broken")?;
         }
         Ok(())
@@ -129,7 +129,7 @@
             "{:<24}{:>8}{:>8}{:>8}{:>8}{:>10.2}{:>10.2}{:>10.2}",
             row.name,
             row.due,
-            row.whole,
+            row.complete,
             row.refused,
             row.failed,
             row.latency_ms(0.5),
--- a/crates/mustardpin-standin/src/load/sender.rs
+++ b/crates/mustardpin-standin/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! Sends one request, again if need be, and judges the answer.
+//! Sends a request with its retries and checks the response.
 
 use std::{
     sync::{
@@ -24,26 +24,26 @@
     target::{chain, response_body},
 };
 
-/// How long past its deadline a request is waited for.
-const SLACK: Duration = Duration::from_secs(1);
+/// How long after its deadline a request times out.
+const TIMEOUT_SLACK: Duration = Duration::from_secs(1);
 
-/// How long a withdrawn key may go on working.
-const WITHDRAWAL_TARGET: Duration = Duration::from_secs(3);
+/// How long requests with a withdrawn key may still run.
+const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_secs(3);
 
 /// One request of the load.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    /// Who sends it.
+    /// The team that sends it.
     pub team: TeamKey,
-    /// What it asks.
+    /// The route that it is sent to.
     pub route: RouteKey,
-    /// Its number among the team's requests.
+    /// Its number among the team's requests, from 1.
     pub number: u64,
-    /// When it was due; latency counts from here.
+    /// When it was due. Latency is measured from here, so that delays of the sender count.
     pub due: Instant,
 }
 
-/// Sends requests to the entry nodes in turn.
+/// Sends requests to the entry nodes, round-robin.
 #[derive(Debug)]
 pub struct Sender {
     arguments: Arc<Arguments>,
@@ -53,13 +53,13 @@
 }
 
 impl Sender {
-    /// A sender to the entry nodes in the arguments.
+    /// Creates a sender to the entry nodes in the arguments.
     pub fn new(arguments: Arc<Arguments>, control: Handle<Event>) -> Sender {
         let caller = caller(arguments.http2);
         Sender { arguments, control, caller, next_entry: AtomicUsize::new(0) }
     }
 
-    /// Sends a request until it is answered or the retries are spent.
+    /// Sends a request until its response is complete or no retry is left, and reports a sample.
     pub async fn run(&self, job: Job) {
         let team = &self.arguments.teams[job.team.0];
         let is_open = self.arguments.routes[job.route.0].open;
@@ -68,14 +68,16 @@
         let end = loop {
             attempts += 1;
             let end = self.attempt(job).await;
-            // What may have run must not be sent again on a non-repeatable route.
-            let may_repeat = !self.arguments.routes[job.route.0].once || end.is_not_run();
-            if end.is_whole() || !may_repeat || attempts > self.arguments.retries {
+            // A request on a non-repeatable route must not be retried if it may have run.
+            let may_retry = !self.arguments.routes[job.route.0].once || end.is_not_run();
+            if end.is_complete() || !may_retry || attempts > self.arguments.retries {
                 break end;
             }
         };
         let end = match end {
-            End::Whole if !is_open && withdrawn.is_some_and(|age| age > WITHDRAWAL_TARGET) => {
+            End::Complete
+                if !is_open && withdrawn.is_some_and(|age| age > MAX_WITHDRAWAL_DELAY) =>
+            {
                 End::RanAfterWithdrawal
             }
             end => end,
@@ -89,22 +91,22 @@
             not_run: (is_once && end.is_not_run()).then(|| self.name(job)),
             end,
         };
-        self.control.send(Event::Answered(sample));
+        self.control.send(Event::Ended(sample));
     }
 
-    /// How long the team's key has been withdrawn.
+    /// Returns how long ago the team's key was withdrawn.
     fn withdrawn_for(&self, team: &Team) -> Option<Duration> {
         let metadata = std::fs::metadata(team.withdrawal_file.as_ref()?).ok()?;
         metadata.modified().ok()?.elapsed().ok()
     }
 
-    /// Sends a request once, to the first entry node that accepts a connection.
+    /// Sends a request once, to the next entry node that accepts a connection.
     async fn attempt(&self, job: Job) -> End {
         let entries = &self.arguments.entries;
         for _ in 0..entries.len() {
             let index = self.next_entry.fetch_add(1, Ordering::Relaxed) % entries.len();
             let Ok(request) = self.request(job, index) else { return End::NotConnected };
-            let limit = self.arguments.deadline + SLACK;
+            let limit = self.arguments.deadline + TIMEOUT_SLACK;
             let exchange = tokio::time::timeout(limit, self.exchange(job, request)).await;
             match exchange {
                 Ok(End::NotConnected) => continue,
@@ -117,25 +119,25 @@
 
     async fn exchange(&self, job: Job, request: Request<Full<Bytes>>) -> End {
         match self.caller.request(request).await {
-            Ok(response) => self.judge(job, response).await,
+            Ok(response) => self.classify(job, response).await,
             Err(error) if error.is_connect() => End::NotConnected,
             Err(_) => End::CutOff,
         }
     }
 
-    async fn judge(&self, job: Job, response: Response<Incoming>) -> End {
+    async fn classify(&self, job: Job, response: Response<Incoming>) -> End {
         let (parts, body) = response.into_parts();
         let Ok(body) = body.collect().await else { return End::CutOff };
         if parts.status == StatusCode::OK {
             return match response_body::check(&body.to_bytes(), &self.name(job)) {
-                Ok(()) => End::Whole,
-                Err(flaw) => End::Flawed(flaw),
+                Ok(()) => End::Complete,
+                Err(error) => End::Invalid(error),
             };
         }
         let status = parts.status.as_u16();
-        match text(&parts.headers, "mustardpin-reason") {
+        match header_text(&parts.headers, "mustardpin-reason") {
             Some(reason) => {
-                let outcome = text(&parts.headers, "mustardpin-outcome").unwrap_or_default();
+                let outcome = header_text(&parts.headers, "mustardpin-outcome").unwrap_or_default();
                 End::Refused { status, reason, outcome }
             }
             None => End::Failed { status },
@@ -167,6 +169,6 @@
     }
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Option<CompactString> {
+fn header_text(headers: &HeaderMap, name: &str) -> Option<CompactString> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(CompactString::from)
 }
--- a/crates/mustardpin-standin/src/load/tally.rs
+++ b/crates/mustardpin-standin/src/load/tally.rs
@@ -1,69 +1,69 @@
-//! The tables of the report: what came back, by team, by route and by reason.
+//! The tables of the report: results by team, by route and by reason.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use compact_str::CompactString;
 use hdrhistogram::Histogram;
 
-use crate::{control::Control, load::arguments::Arguments, target::response_body::Flaw};
+use crate::{control::Control, load::arguments::Arguments, target::response_body::BodyError};
 
-/// The longest latency that is told apart, in microseconds.
-const LONGEST_LATENCY: u64 = 600_000_000;
+/// The maximum latency that is recorded, in microseconds. Higher latencies count as this one.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// What a node says of a request that did not run.
+/// The outcome that a node sends for a request that did not run.
 const NOT_RUN: &str = "not-run";
 
-/// Names a row of the table of teams.
+/// The index of a row in the table of teams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TeamKey(pub usize);
 
-/// Names a row of the table of routes.
+/// The index of a row in the table of routes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteKey(pub usize);
 
-/// How a request ended for its caller.
+/// How a request ended, as seen by its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer to this request came.
-    Whole,
-    /// An answer came that looks complete and is not the right one.
-    Flawed(Flaw),
-    /// The request ran although its key had been withdrawn for too long.
+    /// The complete response to this request arrived.
+    Complete,
+    /// A response arrived whose HTTP message is complete but whose body is not valid.
+    Invalid(BodyError),
+    /// The request ran although its key had been withdrawn for longer than allowed.
     RanAfterWithdrawal,
-    /// A node refused it.
+    /// A node refused the request.
     Refused {
         /// The HTTP status code.
         status: u16,
-        /// The reason the node gave.
+        /// The reason in the node's response.
         reason: CompactString,
-        /// Whether it ran, as the node says.
+        /// Whether the request ran, according to the node's response.
         outcome: CompactString,
     },
-    /// The target answered with a failure.
+    /// The response has a status other than 200 and is not a refusal by a node.
     Failed {
         /// The HTTP status code.
         status: u16,
     },
-    /// The connection broke before the whole answer had come.
+    /// The connection was closed before the complete response had arrived.
     CutOff,
     /// No node accepted a connection.
     NotConnected,
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
 }
 
 impl End {
-    /// Whether the whole answer came.
+    /// Whether the complete response arrived.
     ///
     /// ```
     /// use mustardpin_standin::load::tally::End;
-    /// assert!(!End::CutOff.is_whole());
+    /// assert!(!End::CutOff.is_complete());
     /// ```
-    pub fn is_whole(&self) -> bool {
-        *self == End::Whole
+    pub fn is_complete(&self) -> bool {
+        *self == End::Complete
     }
 
-    /// Whether the request surely did not run, so that sending it again is safe.
+    /// Whether the request certainly did not run, so that a retry is safe.
     ///
     /// ```
     /// use mustardpin_standin::load::tally::End;
@@ -79,61 +79,61 @@
     }
 }
 
-/// A request that has ended.
+/// The result of a request that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sample {
-    /// Who sent it.
+    /// The team that sent it.
     pub team: TeamKey,
-    /// What it asked.
+    /// The route that it was sent to.
     pub route: RouteKey,
-    /// How it ended.
+    /// How its last attempt ended.
     pub end: End,
-    /// How often it was sent.
+    /// The number of times it was sent.
     pub attempts: u32,
-    /// The time from when it was due to its end.
+    /// The time from when it was due until it ended.
     pub latency: Duration,
-    /// The idempotency key of a request that surely did not run in any attempt.
+    /// The idempotency key of a request that certainly did not run in any attempt.
     pub not_run: Option<CompactString>,
 }
 
-/// What the traffic side tells the tables.
+/// The events that the traffic tasks send to the tables.
 #[derive(Debug)]
 pub enum Event {
     /// A request has ended.
-    Answered(Sample),
-    /// A request was not sent since too many were on their way.
-    Unsent(TeamKey),
+    Ended(Sample),
+    /// A request was due but not sent, because too many were in flight.
+    NotSent(TeamKey),
 }
 
 /// A row of the tables of teams and of routes.
 #[derive(Debug, Clone)]
 pub struct Row {
-    /// Its name in the report.
+    /// The name of the team or route in the report.
     pub name: CompactString,
-    /// Requests that were due.
+    /// The number of requests that were due.
     pub due: u64,
-    /// Whole answers.
-    pub whole: u64,
-    /// Refusals by nodes.
+    /// The number of complete responses.
+    pub complete: u64,
+    /// The number of refusals by nodes.
     pub refused: u64,
-    /// Everything else that is not a whole answer.
+    /// The number of requests with any other result, including those not sent.
     pub failed: u64,
-    /// Latencies of whole answers, in microseconds.
+    /// Latencies of complete responses, in microseconds.
     pub latencies: Histogram<u64>,
 }
 
 impl Row {
     fn new(name: CompactString) -> Row {
-        // The bounds and the three significant figures are those that the constructor accepts.
-        let latencies = Histogram::new_with_bounds(1, LONGEST_LATENCY, 3).expect("valid bounds");
-        Row { name, due: 0, whole: 0, refused: 0, failed: 0, latencies }
+        // The constructor only fails for invalid bounds or more than 5 significant figures.
+        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
+        Row { name, due: 0, complete: 0, refused: 0, failed: 0, latencies }
     }
 
     fn add(&mut self, sample: &Sample) {
         self.due += 1;
         match sample.end {
-            End::Whole => {
-                self.whole += 1;
+            End::Complete => {
+                self.complete += 1;
                 self.latencies.saturating_record(sample.latency.as_micros() as u64);
             }
             End::Refused { .. } => self.refused += 1,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A quantile of the latencies of whole answers, in milliseconds.
+    /// Returns a quantile of the latencies of complete responses, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latencies.value_at_quantile(quantile) as f64 / 1_000.0
     }
@@ -158,16 +158,16 @@
     pub refusals: BTreeMap<(u16, CompactString, CompactString), u64>,
     /// Failures other than refusals, by kind.
     pub failures: BTreeMap<CompactString, u64>,
-    /// Requests sent, with those sent again.
+    /// The number of times that requests were sent, including retries.
     pub attempts: u64,
-    /// Requests that were due and not sent.
-    pub unsent: u64,
-    /// The idempotency keys of requests that surely did not run.
+    /// The number of requests that were due but not sent.
+    pub not_sent: u64,
+    /// The idempotency keys of requests that certainly did not run.
     pub not_run: Vec<CompactString>,
 }
 
 impl Tally {
-    /// Empty tables for the teams and routes in the arguments.
+    /// Creates empty tables for the teams and routes in the arguments.
     ///
     /// ```
     /// use mustardpin_standin::load::{arguments::Arguments, tally::Tally};
@@ -188,12 +188,12 @@
             refusals: BTreeMap::new(),
             failures: BTreeMap::new(),
             attempts: 0,
-            unsent: 0,
+            not_sent: 0,
             not_run: Vec::new(),
         }
     }
 
-    /// How often something failed in this way.
+    /// Returns the number of failures of a kind.
     ///
     /// ```
     /// use mustardpin_standin::load::{arguments::Arguments, tally::Tally};
@@ -209,13 +209,13 @@
         self.teams[sample.team.0].add(sample);
         self.routes[sample.route.0].add(sample);
         let kind: CompactString = match &sample.end {
-            End::Whole => return,
+            End::Complete => return,
             End::Refused { status, reason, outcome } => {
                 let key = (*status, reason.clone(), outcome.clone());
                 *self.refusals.entry(key).or_default() += 1;
                 return;
             }
-            End::Flawed(flaw) => compact_str::format_compact!("{FLAWED}: {flaw}"),
+            End::Invalid(error) => compact_str::format_compact!("{INVALID_RESPONSE}: {error}"),
             End::RanAfterWithdrawal => RAN_AFTER_WITHDRAWAL.into(),
             End::Failed { status } => compact_str::format_compact!("status {status}"),
             End::CutOff => CUT_OFF.into(),
@@ -226,11 +226,11 @@
     }
 }
 
-/// The kind of failure of an answer that is not the right one.
-pub const FLAWED: &str = "broken answer";
-/// The kind of failure of a request that ran on a withdrawn key.
+/// The kind of failure of a response whose body is not valid.
+pub const INVALID_RESPONSE: &str = "broken answer";
+/// The kind of failure of a request that ran with a withdrawn key.
 pub const RAN_AFTER_WITHDRAWAL: &str = "ran on a withdrawn key";
-/// The kind of failure of a request whose connection broke.
+/// The kind of failure of a request whose connection was closed early.
 pub const CUT_OFF: &str = "cut off";
 
 impl Control for Tally {
@@ -239,9 +239,9 @@
     fn tick(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
-                Event::Answered(sample) => self.add(&sample),
-                Event::Unsent(team) => {
-                    self.unsent += 1;
+                Event::Ended(sample) => self.add(&sample),
+                Event::NotSent(team) => {
+                    self.not_sent += 1;
                     self.teams[team.0].due += 1;
                     self.teams[team.0].failed += 1;
                 }
--- a/crates/mustardpin-standin/src/platform.rs
+++ b/crates/mustardpin-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: its store of rows over HTTP, in memory.
+//! A stand-in for the platform's store of rows: over HTTP, in memory.
 
 pub mod handler;
 pub mod table;
@@ -24,15 +24,15 @@
 Drops the history of changes: POST /standin/compact
 Counts of reads and writes: GET /standin/counts";
 
-/// What the program is told when it starts.
+/// The command-line arguments of the platform's stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arguments {
-    /// Where it listens.
+    /// The address to listen on.
     pub address: SocketAddr,
 }
 
 impl Arguments {
-    /// Reads the arguments; `None` if only the help text was asked for.
+    /// Parses the arguments. Returns `None` if `--help` was given, after printing the help text.
     pub fn parse(parser: &mut lexopt::Parser) -> Result<Option<Arguments>, Error> {
         let mut address = None;
         while let Some(argument) = parser.next()? {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Serves until the process ends.
+/// Serves the store until the process ends.
 pub async fn run(arguments: Arguments) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind(arguments.address).await?;
     let (handle, _thread) = control::start(table::Store::default());
--- a/crates/mustardpin-standin/src/platform/handler.rs
+++ b/crates/mustardpin-standin/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in over HTTP.
+//! The HTTP interface of the platform's stand-in.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,35 +10,38 @@
 
 use crate::{
     control::Handle,
-    http::{Body, Cut, Handler, json, read_json, text},
-    platform::table::{Behaviour, Event, Gone},
+    http::{Aborted, Body, Handler, json, read_json, text},
+    platform::table::{Behaviour, Event, HistoryDropped},
 };
 
-/// Answers HTTP requests from the rows.
+/// Handles HTTP requests by queries to the control thread.
 #[derive(Debug)]
 pub struct Platform {
     control: Handle<Event>,
 }
 
 impl Platform {
-    /// A front of the tables behind the handle.
+    /// Creates a handler that queries the control thread through this handle.
     pub fn new(control: Handle<Event>) -> Platform {
         Platform { control }
     }
 
-    async fn ask<T>(&self, event: impl FnOnce(oneshot::Sender<T>) -> Event) -> Result<T, Cut> {
+    async fn query_control<T>(
+        &self,
+        event: impl FnOnce(oneshot::Sender<T>) -> Event,
+    ) -> Result<T, Aborted> {
         let (sender, receiver) = oneshot::channel();
         self.control.send(event(sender));
-        receiver.await.map_err(|_| Cut)
+        receiver.await.map_err(|_| Aborted)
     }
 
-    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
         if request.uri().path().starts_with("/standin/") {
             return self.handle_standin(request).await;
         }
-        let mode = self.ask(Event::GetMode).await?;
+        let mode = self.query_control(Event::GetMode).await?;
         match mode.mode {
-            Behaviour::Down => return Err(Cut),
+            Behaviour::Down => return Err(Aborted),
             Behaviour::Silent => std::future::pending().await,
             Behaviour::Error => return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "out of order")),
             Behaviour::Busy => return Ok(text(StatusCode::TOO_MANY_REQUESTS, "too many calls")),
@@ -48,17 +51,20 @@
         let writes = request.method() != Method::GET;
         let response = self.handle_operation(request).await?;
         if writes && mode.mode == Behaviour::LoseAnswer {
-            return Err(Cut);
+            return Err(Aborted);
         }
         Ok(response)
     }
 
-    async fn handle_operation(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn handle_operation(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, Aborted> {
         let (parts, body) = request.into_parts();
         let query = Query::parse(parts.uri.query().unwrap_or_default());
         match (parts.method, parts.uri.path()) {
             (Method::GET, call::GET) => {
-                let rows = self.ask(|reply| Event::Get(query, reply)).await?;
+                let rows = self.query_control(|reply| Event::Get(query, reply)).await?;
                 Ok(json(StatusCode::OK, &rows))
             }
             (Method::GET, call::FEED) => self.feed(query).await,
@@ -67,7 +73,8 @@
                     Ok(transaction) => transaction,
                     Err(response) => return Ok(response),
                 };
-                let result = self.ask(|reply| Event::Transact(transaction, reply)).await?;
+                let result =
+                    self.query_control(|reply| Event::Transact(transaction, reply)).await?;
                 Ok(match result {
                     Ok(written) => json(StatusCode::OK, &written),
                     Err(rows) => json(StatusCode::PRECONDITION_FAILED, &rows),
@@ -77,20 +84,21 @@
         }
     }
 
-    /// Waits for changes, for as long as the query says.
-    async fn feed(&self, query: Query) -> Result<Response<Body>, Cut> {
+    /// Long poll: waits for changes for at most the wait of the query. Without any, replies with the
+    /// newest version and no rows.
+    async fn feed(&self, query: Query) -> Result<Response<Body>, Aborted> {
         let wait = Duration::from_millis(query.wait_ms);
-        let changes = self.ask(|reply| Event::Feed(query, reply));
+        let changes = self.query_control(|reply| Event::Feed(query, reply));
         match tokio::time::timeout(wait, changes).await {
             Ok(changes) => match changes? {
                 Ok(rows) => Ok(json(StatusCode::OK, &rows)),
-                Err(Gone) => Ok(text(StatusCode::GONE, "the history is gone")),
+                Err(HistoryDropped) => Ok(text(StatusCode::GONE, "the history is gone")),
             },
-            Err(_) => Ok(json(StatusCode::OK, &self.ask(Event::Newest).await?)),
+            Err(_) => Ok(json(StatusCode::OK, &self.query_control(Event::Newest).await?)),
         }
     }
 
-    async fn handle_standin(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn handle_standin(&self, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
         let (parts, body) = request.into_parts();
         match (parts.method, parts.uri.path()) {
             (Method::POST, "/standin/mode") => {
@@ -98,15 +106,15 @@
                     Ok(mode) => mode,
                     Err(response) => return Ok(response),
                 };
-                self.ask(|reply| Event::SetMode(mode, reply)).await?;
+                self.query_control(|reply| Event::SetMode(mode, reply)).await?;
                 Ok(json(StatusCode::OK, &mode))
             }
             (Method::POST, "/standin/compact") => {
-                self.ask(Event::Compact).await?;
+                self.query_control(Event::Compact).await?;
                 Ok(text(StatusCode::OK, ""))
             }
             (Method::GET, "/standin/counts") => {
-                Ok(json(StatusCode::OK, &self.ask(Event::Counts).await?))
+                Ok(json(StatusCode::OK, &self.query_control(Event::Counts).await?))
             }
             _ => Ok(text(StatusCode::NOT_FOUND, "no such operation")),
         }
@@ -117,18 +125,18 @@
     fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Response<Body>, Cut>> {
+    ) -> BoxFuture<'static, Result<Response<Body>, Aborted>> {
         Box::pin(async move { self.handle(request).await })
     }
 }
 
-/// The value of a query parameter.
+/// Returns the value of a parameter in the query part of a URI.
 ///
 /// ```
-/// use mustardpin_standin::platform::handler::query;
-/// assert_eq!(query(Some("bytes=3&pace-ms=5"), "pace-ms"), Some("5"));
+/// use mustardpin_standin::platform::handler::query_parameter;
+/// assert_eq!(query_parameter(Some("bytes=3&pace-ms=5"), "pace-ms"), Some("5"));
 /// ```
-pub fn query<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let pairs = query?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
 }
--- a/crates/mustardpin-standin/src/platform/table.rs
+++ b/crates/mustardpin-standin/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The rows of the platform's stand-in, and the operations on them.
+//! The table of rows of the platform's stand-in, and the operations on it.
 
 use std::collections::BTreeMap;
 
@@ -9,90 +9,91 @@
 
 use crate::control::Control;
 
-/// How the stand-in behaves.
+/// How the stand-in responds to operations of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Behaviour {
-    /// Answers at once.
+    /// Responds at once.
     #[default]
     Up,
-    /// Closes every connection without an answer.
+    /// Closes the connection of every request without a response.
     Down,
-    /// Keeps every connection without an answer.
+    /// Keeps connections open and never responds.
     Silent,
-    /// Answers after a delay.
+    /// Responds after a delay.
     Slow,
-    /// Answers that it is out of service; nothing is done.
+    /// Responds with status 503 and executes nothing.
     Error,
-    /// Answers that there are too many calls; nothing is done.
+    /// Responds with status 429 and executes nothing.
     Busy,
-    /// Writes take effect, and the connection is closed without an answer.
+    /// Executes writes, then closes the connection without a response. Serves reads.
     LoseAnswer,
 }
 
-/// How the stand-in behaves, and how slowly.
+/// The mode of the stand-in, as set by `POST /standin/mode`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Mode {
-    /// How it behaves.
+    /// How it responds.
     pub mode: Behaviour,
-    /// The delay of slow answers, in milliseconds.
+    /// The delay of responses in mode `slow`, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
 }
 
-/// How often the stand-in was asked.
+/// How many operations the stand-in executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Counts {
-    /// Readings of rows, and questions for changes.
+    /// Reads of rows and long polls for changes.
     pub reads: u64,
-    /// Transactions.
+    /// Transactions, including those with conflicts.
     pub writes: u64,
     /// Transactions whose conditions did not hold.
     pub conflicts: u64,
 }
 
-/// The history that a question needs has been dropped.
+/// The changes that a long poll asks for were dropped by a compaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Gone;
+pub struct HistoryDropped;
 
-/// What the front asks of the tables.
+/// Queries and commands from the HTTP handler. The sender carries the reply.
 #[derive(Debug)]
 pub enum Event {
-    /// Rows of a table in the order of their keys.
+    /// Reads rows of a table in the order of their keys.
     Get(Query, oneshot::Sender<Rows>),
-    /// Rows of a table that change after a version, once there are any.
-    Feed(Query, oneshot::Sender<Result<Rows, Gone>>),
-    /// The newest version, without rows.
+    /// Long poll: replies with the rows of a table that changed after a version, once there are
+    /// any.
+    Feed(Query, oneshot::Sender<Result<Rows, HistoryDropped>>),
+    /// Reads the newest version, without rows.
     Newest(oneshot::Sender<Rows>),
-    /// A transaction; if its conditions do not hold, the rows that they are about.
+    /// Executes a transaction. If its conditions do not hold, replies with the rows that they name.
     Transact(Transaction, oneshot::Sender<Result<Written, Rows>>),
     /// Drops the history of changes.
     Compact(oneshot::Sender<()>),
-    /// Changes the behaviour.
+    /// Changes the mode.
     SetMode(Mode, oneshot::Sender<()>),
-    /// Asks for the behaviour.
+    /// Reads the mode.
     GetMode(oneshot::Sender<Mode>),
-    /// Asks how often the stand-in was asked.
+    /// Reads the counts of operations.
     Counts(oneshot::Sender<Counts>),
 }
 
-/// Everything the stand-in keeps.
+/// The state of the stand-in: rows, pending long polls, mode and counts.
 #[derive(Debug, Default)]
 pub struct Store {
     version: u64,
-    /// Changes up to this version have been forgotten.
-    forgotten: u64,
+    /// The history of changes up to this version was dropped by a compaction.
+    compacted_to: u64,
     /// The value of each row, and the version that wrote or removed it.
     rows: BTreeMap<RowName, (u64, Option<CompactString>)>,
-    waiting: Vec<(Query, oneshot::Sender<Result<Rows, Gone>>)>,
+    long_polls: Vec<(Query, oneshot::Sender<Result<Rows, HistoryDropped>>)>,
     mode: Mode,
     counts: Counts,
 }
 
 impl Store {
-    /// Rows of a table in the order of their keys.
+    /// Returns rows of a table in the order of their keys. A limit of 0 means no limit.
     ///
     /// ```
     /// use mustardpin_platform::store::call::Query;
@@ -107,31 +108,32 @@
                 && name.key >= query.from
                 && value.is_some()
         });
-        let mut rows: Vec<Row> = rows.map(|(name, row)| given(name, row)).collect();
+        let mut rows: Vec<Row> = rows.map(|(name, row)| to_row(name, row)).collect();
         let has_more = rows.len() > limit;
         rows.truncate(limit);
         Rows { rows, has_more, ..self.newest() }
     }
 
-    /// Rows of a table that changed after a version, in the order of their versions.
+    /// Returns the rows of a table that changed after a version, in the order of their versions.
     ///
     /// # Errors
     ///
-    /// If the history has been dropped.
-    pub fn feed(&self, query: &Query) -> Result<Rows, Gone> {
-        if query.after < self.forgotten {
-            return Err(Gone);
+    /// [`HistoryDropped`] if changes after that version were dropped by a compaction.
+    pub fn feed(&self, query: &Query) -> Result<Rows, HistoryDropped> {
+        if query.after < self.compacted_to {
+            return Err(HistoryDropped);
         }
         let changed = self
             .rows
             .iter()
             .filter(|(name, (version, _))| name.table == query.table && *version > query.after);
-        let mut rows: Vec<Row> = changed.map(|(name, row)| given(name, row)).collect();
+        let mut rows: Vec<Row> = changed.map(|(name, row)| to_row(name, row)).collect();
         rows.sort_by_key(|row| row.version_number);
         Ok(Rows { rows, ..self.newest() })
     }
 
-    /// Writes all rows if all conditions hold; else gives the rows that they are about.
+    /// Writes all rows if all conditions hold. Otherwise writes none and returns the rows that the
+    /// conditions name.
     ///
     /// ```
     /// use mustardpin_platform::store::call::{Condition, RowName, Transaction};
@@ -147,12 +149,12 @@
     /// ```
     pub fn transact(&mut self, transaction: Transaction) -> Result<Written, Rows> {
         let present = |name: &RowName| self.rows.get(name).filter(|(_, value)| value.is_some());
-        let holds = transaction.expected.iter().all(|condition| {
+        let conditions_hold = transaction.expected.iter().all(|condition| {
             present(&condition.row).map_or(0, |(version, _)| *version) == condition.version_number
         });
-        if !holds {
+        if !conditions_hold {
             let names = transaction.expected.iter().map(|condition| &condition.row);
-            let rows = names.filter_map(|name| Some(given(name, present(name)?))).collect();
+            let rows = names.filter_map(|name| Some(to_row(name, present(name)?))).collect();
             self.counts.conflicts += 1;
             return Err(Rows { rows, ..self.newest() });
         }
@@ -170,59 +172,59 @@
         Rows { rows: Vec::new(), has_more: false, version_number: self.version, now_s: 0.0 }
     }
 
-    /// Answers questions for changes of which there are some by now.
-    fn answer_waiting(&mut self) {
-        for (query, reply) in std::mem::take(&mut self.waiting) {
+    /// Replies to the long polls whose table has changed since their version.
+    fn reply_to_long_polls(&mut self) {
+        for (query, reply) in std::mem::take(&mut self.long_polls) {
             match self.feed(&query) {
                 Ok(rows) if rows.rows.is_empty() => {
                     if !reply.is_closed() {
-                        self.waiting.push((query, reply));
+                        self.long_polls.push((query, reply));
                     }
                 }
-                answer => {
-                    let _gone = reply.send(answer);
+                result => {
+                    let _receiver_dropped = reply.send(result);
                 }
             }
         }
     }
 
     fn handle(&mut self, event: Event) {
-        // A reply that nobody waits for any more is dropped.
+        // A reply is dropped if its request has ended in the meantime.
         match event {
             Event::Get(query, reply) => {
                 self.counts.reads += 1;
-                let _gone = reply.send(self.get(&query));
+                let _receiver_dropped = reply.send(self.get(&query));
             }
             Event::Feed(query, reply) => {
                 self.counts.reads += 1;
-                self.waiting.push((query, reply));
+                self.long_polls.push((query, reply));
             }
             Event::Newest(reply) => {
-                let _gone = reply.send(self.newest());
+                let _receiver_dropped = reply.send(self.newest());
             }
             Event::Transact(transaction, reply) => {
                 self.counts.writes += 1;
-                let _gone = reply.send(self.transact(transaction));
+                let _receiver_dropped = reply.send(self.transact(transaction));
             }
             Event::Compact(reply) => {
-                self.forgotten = self.version;
-                let _gone = reply.send(());
+                self.compacted_to = self.version;
+                let _receiver_dropped = reply.send(());
             }
             Event::SetMode(mode, reply) => {
                 self.mode = mode;
-                let _gone = reply.send(());
+                let _receiver_dropped = reply.send(());
             }
             Event::GetMode(reply) => {
-                let _gone = reply.send(self.mode);
+                let _receiver_dropped = reply.send(self.mode);
             }
             Event::Counts(reply) => {
-                let _gone = reply.send(self.counts);
+                let _receiver_dropped = reply.send(self.counts);
             }
         }
     }
 }
 
-fn given(name: &RowName, (version, value): &(u64, Option<CompactString>)) -> Row {
+fn to_row(name: &RowName, (version, value): &(u64, Option<CompactString>)) -> Row {
     Row {
         table: name.table.clone(),
         part: name.part.clone(),
@@ -240,6 +242,6 @@
         for event in events {
             self.handle(event);
         }
-        self.answer_waiting();
+        self.reply_to_long_polls();
     }
 }
--- a/crates/mustardpin-standin/src/target.rs
+++ b/crates/mustardpin-standin/src/target.rs
@@ -1,4 +1,5 @@
-//! The target's stand-in: runs requests in slots, calls further services and tells what it ran.
+//! A stand-in for a target: runs requests in slots, calls downstream services and reports what it
+//! ran.
 
 pub mod announce;
 pub mod arguments;
@@ -16,7 +17,7 @@
     target::{announce::Announcer, arguments::Arguments, handler::Target, run::Event},
 };
 
-/// Serves until the process is told to stop and has finished what it was running.
+/// Serves until SIGTERM arrives and all running requests have ended.
 pub async fn run(arguments: Arguments) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind(arguments.address).await?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -33,7 +34,7 @@
     handle.send(Event::Drain(sender));
     announcer.announce().await;
     let _idle_or_ending = idle.await;
-    // The last answers are still on their way through the sockets.
+    // The sockets may still hold parts of the last responses.
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     Ok(())
 }
--- a/crates/mustardpin-standin/src/target/announce.rs
+++ b/crates/mustardpin-standin/src/target/announce.rs
@@ -1,4 +1,4 @@
-//! Tells the node that its target is there.
+//! Announces the target to its node.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,53 +12,53 @@
     target::{arguments::Arguments, run::Event},
 };
 
-/// What a target says of itself.
+/// The body of an announcement: the address and state of the target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Where it listens.
+    /// The address on which the target listens.
     pub address: SocketAddr,
-    /// The service it belongs to.
+    /// The service that the target belongs to.
     pub service: CompactString,
-    /// Requests it runs at once.
+    /// The number of requests that it can run at once.
     pub slots: u32,
-    /// Whether it is healthy.
+    /// Whether it reports itself as healthy.
     pub healthy: bool,
-    /// Whether it wants no new requests.
+    /// Whether it declines new requests.
     pub draining: bool,
-    /// Requests it is running.
+    /// The number of requests that it is running.
     pub running: u32,
 }
 
-/// Announces the target again and again.
+/// Announces the target to its node at a fixed interval.
 #[derive(Debug)]
 pub struct Announcer {
     control: Handle<Event>,
     caller: Caller,
     node: SocketAddr,
-    period: Duration,
+    interval: Duration,
 }
 
 impl Announcer {
-    /// An announcer to the node in the arguments.
+    /// Creates an announcer to the node in the arguments.
     pub fn new(control: Handle<Event>, caller: Caller, arguments: &Arguments) -> Announcer {
-        Announcer { control, caller, node: arguments.node, period: arguments.announce_period }
+        Announcer { control, caller, node: arguments.node, interval: arguments.announce_interval }
     }
 
-    /// Announces the target until the process stops.
+    /// Announces the target at each interval and does not return.
     pub async fn run(&self) {
         loop {
             self.announce().await;
-            tokio::time::sleep(self.period).await;
+            tokio::time::sleep(self.interval).await;
         }
     }
 
-    /// Announces the target once. A node that is away is told the next time.
+    /// Announces the target once. Errors are ignored: the next announcement is the retry.
     pub async fn announce(&self) {
         let (sender, receiver) = oneshot::channel();
         self.control.send(Event::Announcement(sender));
         let Ok(announcement) = receiver.await else { return };
         let path = "/target/announce";
-        let _away: Result<serde::de::IgnoredAny, _> =
+        let _result: Result<serde::de::IgnoredAny, _> =
             http::call(&self.caller, "POST", self.node, path, Some(&announcement)).await;
     }
 }
--- a/crates/mustardpin-standin/src/target/arguments.rs
+++ b/crates/mustardpin-standin/src/target/arguments.rs
@@ -1,4 +1,4 @@
-//! What a target is told when it starts.
+//! The command-line arguments of a target's stand-in.
 
 use std::{net::SocketAddr, str::FromStr, time::Duration};
 
@@ -7,7 +7,7 @@
 use crate::arguments::{Error, millis, required, value};
 
 const HELP: &str = "\
-Stands in for a target: runs requests in slots and tells what it ran.
+Stands in for a target: runs requests in slots and reports what it ran.
 
 Usage: target-standin --address IP:PORT --node IP:PORT --service NAME [options]
 
@@ -21,28 +21,28 @@
   --cold-start-ms N        after the start, runs take four times as long for this time (0)
   --call 'METHOD PATH'     calls this through its node during each run; may be repeated
   --fan-out                makes these calls at once, not one after the other
-  --retries N              sends a failed call again this many times at once (0)
+  --retries N              immediate retries of a failed call (0)
   --crash-on TEXT          the process exits when the path of a request contains this text
-  --report-running N       misleading load in its announcements
-  --report-slots N         misleading slots in its announcements
-  --report-healthy BOOL    misleading health in its announcements
+  --report-running N       false number of running requests in its announcements
+  --report-slots N         false number of slots in its announcements
+  --report-healthy BOOL    false health in its announcements
   --announce-ms N          time between announcements (1000)
   --seed N                 decides the service times (1)
   --help                   this text
 
 A request with the header Standin-Crash makes the process exit. The query parameters bytes,
-pace-ms and cut-after shape the answer. What it ran: GET /standin/ran. Changes at run time:
+pace-ms and cut-after shape the response. What it ran: GET /standin/ran. Changes at run time:
 POST /standin/mode {\"service-time-ms\": 50, \"slots\": 4, \"draining\": true, \"healthy\": false}";
 
 /// How service times are distributed around their mean.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Distribution {
-    /// Always the mean.
+    /// Every run takes the mean.
     Constant,
-    /// Between half and one and a half of the mean.
+    /// Uniform between 0.5 and 1.5 times the mean.
     #[default]
     Uniform,
-    /// Exponential, up to ten times the mean.
+    /// Exponential, limited to ten times the mean.
     Exponential,
 }
 
@@ -59,12 +59,12 @@
     }
 }
 
-/// A call to another service.
+/// A call to a downstream service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// The HTTP method.
     pub method: CompactString,
-    /// The path, with a query if need be.
+    /// The path, with an optional query.
     pub path: CompactString,
 }
 
@@ -81,52 +81,52 @@
     }
 }
 
-/// What a target says of itself in place of the truth.
+/// False values that a target announces in place of the real ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Misleading {
-    /// Requests running.
+pub struct AnnouncementOverrides {
+    /// The number of running requests to announce.
     pub running: Option<u32>,
-    /// Slots.
+    /// The number of slots to announce.
     pub slots: Option<u32>,
-    /// Health.
+    /// The health to announce.
     pub healthy: Option<bool>,
 }
 
-/// What a target is told when it starts.
+/// The command-line arguments of a target's stand-in.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arguments {
-    /// Where it listens.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// The local address of its node.
+    /// The address on which its node listens for the local target.
     pub node: SocketAddr,
-    /// The service it belongs to.
+    /// The service that the target belongs to.
     pub service: CompactString,
-    /// Requests it runs at once.
+    /// The number of requests that it can run at once.
     pub slots: u32,
-    /// Mean time of a run.
+    /// The mean service time of a run.
     pub service_time: Duration,
-    /// How the times are distributed.
+    /// The distribution of service times.
     pub distribution: Distribution,
-    /// How long after the start runs take longer.
+    /// How long after the start runs take four times as long.
     pub cold_start: Duration,
     /// The calls it makes during each run.
     pub calls: Vec<Call>,
-    /// Whether it makes them at once.
+    /// Whether it makes the calls concurrently instead of one after the other.
     pub fan_out: bool,
-    /// How often it sends a failed call again.
+    /// The maximum number of retries of a failed call.
     pub retries: u32,
-    /// The process exits when a path contains this text.
+    /// The process exits when the path of a request contains this text.
     pub crash_on: Option<CompactString>,
-    /// What it says of itself in place of the truth.
-    pub misleading: Misleading,
+    /// False values for its announcements.
+    pub overrides: AnnouncementOverrides,
     /// The time between announcements.
-    pub announce_period: Duration,
-    /// Decides the service times.
+    pub announce_interval: Duration,
+    /// The seed of the random numbers that determine service times.
     pub seed: u64,
 }
 
 impl Arguments {
-    /// Arguments with defaults for all but the addresses and the service.
+    /// Creates arguments with defaults for all but the addresses and the service.
     ///
     /// ```
     /// use mustardpin_standin::target::arguments::Arguments;
@@ -148,13 +148,13 @@
             fan_out: false,
             retries: 0,
             crash_on: None,
-            misleading: Misleading::default(),
-            announce_period: Duration::from_secs(1),
+            overrides: AnnouncementOverrides::default(),
+            announce_interval: Duration::from_secs(1),
             seed: 1,
         }
     }
 
-    /// Reads the arguments; `None` if only the help text was asked for.
+    /// Parses the arguments. Returns `None` if `--help` was given, after printing the help text.
     pub fn parse(parser: &mut lexopt::Parser) -> Result<Option<Arguments>, Error> {
         use lexopt::Arg::Long;
 
@@ -174,10 +174,10 @@
                 Long("fan-out") => arguments.fan_out = true,
                 Long("retries") => arguments.retries = value(parser)?,
                 Long("crash-on") => arguments.crash_on = Some(value(parser)?),
-                Long("report-running") => arguments.misleading.running = Some(value(parser)?),
-                Long("report-slots") => arguments.misleading.slots = Some(value(parser)?),
-                Long("report-healthy") => arguments.misleading.healthy = Some(value(parser)?),
-                Long("announce-ms") => arguments.announce_period = millis(parser)?,
+                Long("report-running") => arguments.overrides.running = Some(value(parser)?),
+                Long("report-slots") => arguments.overrides.slots = Some(value(parser)?),
+                Long("report-healthy") => arguments.overrides.healthy = Some(value(parser)?),
+                Long("announce-ms") => arguments.announce_interval = millis(parser)?,
                 Long("seed") => arguments.seed = value(parser)?,
                 Long("help") => {
                     println!("{HELP}");
--- a/crates/mustardpin-standin/src/target/chain.rs
+++ b/crates/mustardpin-standin/src/target/chain.rs
@@ -1,4 +1,4 @@
-//! Calls to further services, through the target's own node.
+//! Calls to downstream services, through the target's node.
 
 use std::net::SocketAddr;
 
@@ -13,50 +13,50 @@
     http::Caller,
     target::{
         arguments::{Arguments, Call},
-        response_body::{self, Flaw},
+        response_body::{self, BodyError},
     },
 };
 
-/// Names a request in its answer.
+/// The header with the name that the response body repeats.
 pub const REQUEST_HEADER: &str = "standin-request";
-/// Links a call to the run that makes it.
+/// The header with the token that links a call to the run that makes it.
 pub const CALL_HEADER: &str = "mustardpin-call";
-/// Identifies a non-repeatable request.
+/// The header that identifies a non-repeatable request.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Why a call to a further service failed.
+/// An error of a call to a downstream service.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// The call could not be built.
+    /// The request could not be built.
     #[display("malformed call")]
     Request(http::Error),
-    /// No answer came.
+    /// The request failed before the head of a response arrived.
     #[display("no answer")]
     Client(hyper_util::client::legacy::Error),
-    /// The answer broke off.
+    /// The response body was truncated.
     #[display("the answer broke off")]
     Body(hyper::Error),
-    /// The answer is not whole, or not the right one.
+    /// The response body is not valid.
     #[display("wrong answer: {_0}")]
-    Flaw(Flaw),
-    /// Another status than 200.
+    InvalidBody(BodyError),
+    /// The status of the response is not 200.
     #[display("status {_0}")]
     #[from(skip)]
     Status(#[error(not(source))] StatusCode),
 }
 
-/// What the calls of a run have in common.
+/// Values of the running request from which its calls are made.
 #[derive(Debug, Clone)]
 pub struct Context {
-    /// The name of the request that the target is running.
+    /// The name of the running request.
     pub request: CompactString,
     /// Its idempotency key.
     pub idempotency_key: Option<CompactString>,
-    /// The token that came with it.
+    /// Its call token, which the node sent with it.
     pub token: Option<HeaderValue>,
 }
 
-/// Makes the calls of a target.
+/// Makes the downstream calls of a target.
 #[derive(Debug)]
 pub struct Chain {
     caller: Caller,
@@ -67,7 +67,7 @@
 }
 
 impl Chain {
-    /// The calls in the arguments.
+    /// Creates the calls that the arguments name.
     pub fn new(caller: Caller, arguments: &Arguments) -> Chain {
         Chain {
             caller,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Makes all calls of one run. The first that fails ends it.
+    /// Makes all calls of one run. Returns the error of the first that fails.
     pub async fn run(&self, context: &Context) -> Result<(), Error> {
         let calls = self.calls.iter().enumerate();
         if self.fan_out {
--- a/crates/mustardpin-standin/src/target/handler.rs
+++ b/crates/mustardpin-standin/src/target/handler.rs
@@ -1,4 +1,4 @@
-//! The target's stand-in over HTTP.
+//! The HTTP interface of a target's stand-in.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,25 +11,25 @@
 
 use crate::{
     control::Handle,
-    http::{Body, Caller, Cut, Handler, json, read_json, text},
+    http::{Aborted, Body, Caller, Handler, json, read_json, text},
     target::{
         arguments::Arguments,
         chain::{CALL_HEADER, Chain, Context, IDEMPOTENCY_HEADER, REQUEST_HEADER},
-        response_body::{self, Form, Running},
+        response_body::{self, ResponseOptions, RunGuard},
         run::{Event, Header, Run, Stage},
     },
 };
 
 /// A request with this header makes the process exit.
 const CRASH_HEADER: &str = "standin-crash";
-/// Says whether a request that the target declined has run.
+/// The response header that states whether a declined request has run.
 const OUTCOME_HEADER: &str = "target-outcome";
-/// How far a run gets before the process exits.
+/// How long after its start a run makes the process exit.
 const CRASH_DELAY: Duration = Duration::from_millis(5);
 /// The exit code of a crash.
 const CRASH_EXIT_CODE: i32 = 70;
 
-/// Runs requests.
+/// Handles HTTP requests: runs them in slots and makes their downstream calls.
 #[derive(Debug)]
 pub struct Target {
     control: Handle<Event>,
@@ -38,7 +38,7 @@
 }
 
 impl Target {
-    /// A target as in the arguments.
+    /// Creates a handler from the arguments. `control` is the thread that owns the table of runs.
     pub fn new(control: Handle<Event>, caller: Caller, arguments: &Arguments) -> Target {
         Target {
             control,
@@ -47,17 +47,20 @@
         }
     }
 
-    async fn ask<T>(&self, event: impl FnOnce(oneshot::Sender<T>) -> Event) -> Result<T, Cut> {
+    async fn query_control<T>(
+        &self,
+        event: impl FnOnce(oneshot::Sender<T>) -> Event,
+    ) -> Result<T, Aborted> {
         let (sender, receiver) = oneshot::channel();
         self.control.send(event(sender));
-        receiver.await.map_err(|_| Cut)
+        receiver.await.map_err(|_| Aborted)
     }
 
-    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Aborted> {
         let (parts, body) = request.into_parts();
         match (&parts.method, parts.uri.path()) {
             (&Method::GET, "/standin/ran") => {
-                Ok(json(StatusCode::OK, &self.ask(Event::Report).await?))
+                Ok(json(StatusCode::OK, &self.query_control(Event::Report).await?))
             }
             (&Method::POST, "/standin/mode") => Ok(match read_json(body).await {
                 Ok(mode) => {
@@ -70,22 +73,27 @@
         }
     }
 
-    async fn run(&self, parts: Parts, body: Incoming) -> Result<Response<Body>, Cut> {
-        let Some(slot) = self.ask(|reply| Event::Arrived(run_of(&parts), reply)).await? else {
-            return Ok(declined());
+    async fn run(&self, parts: Parts, body: Incoming) -> Result<Response<Body>, Aborted> {
+        let Some(slot) = self.query_control(|reply| Event::Arrived(run_of(&parts), reply)).await?
+        else {
+            return Ok(declined_response());
         };
-        let running = Running::new(self.control.clone(), slot.run);
-        body.collect().await.map_err(|_| Cut)?;
-        self.crash_if_asked(&parts).await;
+        let guard = RunGuard::new(self.control.clone(), slot.run);
+        body.collect().await.map_err(|_| Aborted)?;
+        self.crash_if_requested(&parts).await;
         tokio::time::sleep(slot.service_time).await;
         let context = context_of(&parts);
         if let Err(error) = self.chain.run(&context).await {
-            return Ok(failed(&error.to_string(), running));
+            return Ok(failed_response(&error.to_string(), guard));
         }
-        Ok(response_body::respond(&context.request, Form::from_query(parts.uri.query()), running))
+        Ok(response_body::respond(
+            &context.request,
+            ResponseOptions::from_query(parts.uri.query()),
+            guard,
+        ))
     }
 
-    async fn crash_if_asked(&self, parts: &Parts) {
+    async fn crash_if_requested(&self, parts: &Parts) {
         let on_path =
             self.crash_on.as_ref().is_some_and(|text| parts.uri.path().contains(text.as_str()));
         if on_path || parts.headers.contains_key(CRASH_HEADER) {
@@ -99,7 +107,7 @@
     fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Response<Body>, Cut>> {
+    ) -> BoxFuture<'static, Result<Response<Body>, Aborted>> {
         Box::pin(async move { self.handle(request).await })
     }
 }
@@ -130,14 +138,14 @@
     headers.get(name).and_then(|value| value.to_str().ok()).map(CompactString::from)
 }
 
-fn declined() -> Response<Body> {
+fn declined_response() -> Response<Body> {
     let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "no slot is free");
     response.headers_mut().insert(OUTCOME_HEADER, HeaderValue::from_static("not-run"));
     response
 }
 
-/// The answer when a call to a further service failed. The run has ended.
-fn failed(problem: &str, running: Running) -> Response<Body> {
-    running.finish();
+/// Ends the run and returns the response for a failed call to a downstream service.
+fn failed_response(problem: &str, guard: RunGuard) -> Response<Body> {
+    guard.finish();
     text(StatusCode::BAD_GATEWAY, format!("a further service failed: {problem}"))
 }
--- a/crates/mustardpin-standin/src/target/response_body.rs
+++ b/crates/mustardpin-standin/src/target/response_body.rs
@@ -1,4 +1,4 @@
-//! Answers that prove themselves whole and their caller's own.
+//! Response bodies with which a caller can check that the response is complete and its own.
 //!
 //! The first line of a body names the request, the size of the rest and its checksum.
 
@@ -14,120 +14,122 @@
 
 use crate::{
     control::Handle,
-    http::{Body, Cut},
-    platform::handler::query,
+    http::{Aborted, Body},
+    platform::handler::query_parameter,
     target::run::{Event, RunKey},
 };
 
-/// Bytes sent at once.
+/// The size of a chunk of a body without pauses, in bytes.
 const CHUNK_SIZE: usize = 16 << 10;
 
-/// The largest body, in bytes.
-const SIZE_LIMIT: usize = 256 << 20;
+/// The maximum size of a body after its first line, in bytes.
+const MAX_SIZE: usize = 256 << 20;
 
-/// What an answer looks like.
+/// The size and timing of a response, as requested by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Form {
+pub struct ResponseOptions {
     /// The size of the body after its first line, in bytes.
     pub size: usize,
-    /// The pause between chunks; the body then has at least 16 chunks.
+    /// The pause between chunks. If it is not zero, the body has at least 16 chunks.
     pub pace: Duration,
-    /// The connection is closed after about this many bytes.
+    /// The number of bytes after which the connection is closed, if any.
     pub cut_after: Option<usize>,
 }
 
-impl Form {
-    /// Reads `bytes`, `pace-ms` and `cut-after` from a query.
+impl ResponseOptions {
+    /// Parses the parameters `bytes`, `pace-ms` and `cut-after` of a query.
     ///
     /// ```
-    /// use mustardpin_standin::target::response_body::Form;
-    /// assert_eq!(Form::from_query(Some("bytes=9")).size, 9);
+    /// use mustardpin_standin::target::response_body::ResponseOptions;
+    /// assert_eq!(ResponseOptions::from_query(Some("bytes=9")).size, 9);
     /// ```
-    pub fn from_query(text: Option<&str>) -> Form {
-        let number = |name| query(text, name).and_then(|value| value.parse::<usize>().ok());
-        Form {
-            size: number("bytes").unwrap_or(0).min(SIZE_LIMIT),
+    pub fn from_query(text: Option<&str>) -> ResponseOptions {
+        let number =
+            |name| query_parameter(text, name).and_then(|value| value.parse::<usize>().ok());
+        ResponseOptions {
+            size: number("bytes").unwrap_or(0).min(MAX_SIZE),
             pace: Duration::from_millis(number("pace-ms").unwrap_or(0) as u64),
             cut_after: number("cut-after"),
         }
     }
 }
 
-/// What is wrong with a body that looks complete.
+/// Why the body of a complete HTTP response is not valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-pub enum Flaw {
-    /// It has no first line.
+pub enum BodyError {
+    /// It has no first line, or one of another form.
     #[display("not an answer of a target")]
-    Foreign,
-    /// It answers another request.
+    Unrecognized,
+    /// It belongs to another request.
     #[display("the answer to another request")]
-    Mixed,
-    /// It is shorter or longer than it says.
+    OtherRequest,
+    /// Its size differs from the one in the first line.
     #[display("not the size that it says")]
     Size,
-    /// Its checksum is another one.
+    /// Its checksum differs from the one in the first line.
     #[display("not the checksum that it says")]
     Checksum,
 }
 
-/// The whole body of an answer to a request.
+/// Creates the complete body of the response to a request.
 ///
 /// ```
-/// use mustardpin_standin::target::response_body::{Flaw, check, compose};
+/// use mustardpin_standin::target::response_body::{BodyError, check, compose};
 ///
 /// let body = compose("r-1", 1_000);
 /// assert_eq!(check(&body, "r-1"), Ok(()));
-/// assert_eq!(check(&body, "r-2"), Err(Flaw::Mixed));
-/// assert_eq!(check(&body[..900], "r-1"), Err(Flaw::Size));
+/// assert_eq!(check(&body, "r-2"), Err(BodyError::OtherRequest));
+/// assert_eq!(check(&body[..900], "r-1"), Err(BodyError::Size));
 /// ```
 pub fn compose(request: &str, size: usize) -> Bytes {
     let seed = checksum(request.as_bytes());
-    let filler: Vec<u8> = (0..size).map(|index| fill(seed, index)).collect();
+    let filler: Vec<u8> = (0..size).map(|index| filler_byte(seed, index)).collect();
     let mut body = format!("request={request} bytes={size} checksum={:016x}\n", checksum(&filler))
         .into_bytes();
     body.extend(filler);
     Bytes::from(body)
 }
 
-/// Checks that a body is whole and answers this request.
+/// Checks that a body is complete and belongs to this request.
 ///
 /// ```
-/// use mustardpin_standin::target::response_body::{Flaw, check};
-/// assert_eq!(check(b"hello", "r-1"), Err(Flaw::Foreign));
+/// use mustardpin_standin::target::response_body::{BodyError, check};
+/// assert_eq!(check(b"hello", "r-1"), Err(BodyError::Unrecognized));
 /// ```
-pub fn check(body: &[u8], request: &str) -> Result<(), Flaw> {
-    let end = body.iter().position(|&byte| byte == b'\n').ok_or(Flaw::Foreign)?;
-    let line = std::str::from_utf8(&body[..end]).map_err(|_| Flaw::Foreign)?;
-    let rest = line.strip_prefix("request=").ok_or(Flaw::Foreign)?;
-    let (found, rest) = rest.split_once(" bytes=").ok_or(Flaw::Foreign)?;
-    let (size, digits) = rest.split_once(" checksum=").ok_or(Flaw::Foreign)?;
+pub fn check(body: &[u8], request: &str) -> Result<(), BodyError> {
+    let end = body.iter().position(|&byte| byte == b'\n').ok_or(BodyError::Unrecognized)?;
+    let line = std::str::from_utf8(&body[..end]).map_err(|_| BodyError::Unrecognized)?;
+    let rest = line.strip_prefix("request=").ok_or(BodyError::Unrecognized)?;
+    let (found, rest) = rest.split_once(" bytes=").ok_or(BodyError::Unrecognized)?;
+    let (size, digits) = rest.split_once(" checksum=").ok_or(BodyError::Unrecognized)?;
     if found != request {
-        return Err(Flaw::Mixed);
+        return Err(BodyError::OtherRequest);
     }
     let filler = &body[end + 1..];
     if size.parse() != Ok(filler.len()) {
-        return Err(Flaw::Size);
+        return Err(BodyError::Size);
     }
     if u64::from_str_radix(digits, 16) != Ok(checksum(filler)) {
-        return Err(Flaw::Checksum);
+        return Err(BodyError::Checksum);
     }
     Ok(())
 }
 
-/// Frees the slot of a run when its answer was sent or its caller went away.
+/// Frees the slot of a run once its response was sent. If dropped before, it reports the run as
+/// cancelled.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunGuard {
     control: Handle<Event>,
     run: Option<RunKey>,
 }
 
-impl Running {
-    /// A run that has just got its slot.
-    pub fn new(control: Handle<Event>, run: RunKey) -> Running {
-        Running { control, run: Some(run) }
+impl RunGuard {
+    /// Creates a guard for a run that has just been assigned its slot.
+    pub fn new(control: Handle<Event>, run: RunKey) -> RunGuard {
+        RunGuard { control, run: Some(run) }
     }
 
-    /// The run has ended with an answer that is sent at once.
+    /// Ends the run before its response is sent, for a response that is sent in one piece.
     pub fn finish(mut self) {
         self.end();
     }
@@ -139,7 +141,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         if let Some(run) = self.run.take() {
             self.control.send(Event::Cancelled(run));
@@ -147,13 +149,17 @@
     }
 }
 
-/// The answer to a request. The run ends with the last chunk.
-pub fn respond(request: &CompactString, form: Form, running: Running) -> Response<Body> {
-    let bytes = compose(request, form.size);
+/// Creates the response to a request. The run ends with the last chunk.
+pub fn respond(
+    request: &CompactString,
+    options: ResponseOptions,
+    guard: RunGuard,
+) -> Response<Body> {
+    let bytes = compose(request, options.size);
     let length = bytes.len();
-    let chunk_size = if form.pace.is_zero() { CHUNK_SIZE } else { (length / 16).max(1) };
-    let cut_at = form.cut_after.map(|size| size.min(length));
-    let sender = Sender { bytes, sent: 0, cut_at, chunk_size, pace: form.pace, running };
+    let chunk_size = if options.pace.is_zero() { CHUNK_SIZE } else { (length / 16).max(1) };
+    let cut_at = options.cut_after.map(|size| size.min(length));
+    let sender = Sender { bytes, sent: 0, cut_at, chunk_size, pace: options.pace, guard };
     let stream = stream::unfold(sender, |mut sender| async move {
         let frame = sender.next().await?;
         Some((frame, sender))
@@ -165,22 +171,22 @@
     response
 }
 
-/// A body on its way out.
+/// The state of a body that is being sent.
 struct Sender {
     bytes: Bytes,
     sent: usize,
     cut_at: Option<usize>,
     chunk_size: usize,
     pace: Duration,
-    running: Running,
+    guard: RunGuard,
 }
 
 impl Sender {
-    async fn next(&mut self) -> Option<Result<Frame<Bytes>, Cut>> {
+    async fn next(&mut self) -> Option<Result<Frame<Bytes>, Aborted>> {
         if self.cut_at.is_some_and(|cut_at| self.sent >= cut_at) {
-            // Lets the bytes before the cut leave the socket first.
+            // Gives the bytes before the cut time to leave the socket.
             tokio::time::sleep(Duration::from_millis(20)).await;
-            return Some(Err(Cut));
+            return Some(Err(Aborted));
         }
         if self.sent == self.bytes.len() {
             return None;
@@ -192,18 +198,19 @@
         let chunk = self.bytes.slice(self.sent..end);
         self.sent = end;
         if end == self.bytes.len() {
-            self.running.end();
+            self.guard.end();
         }
         Some(Ok(Frame::data(chunk)))
     }
 }
 
-/// FNV-1a, 64 bits.
+/// The 64-bit FNV-1a hash.
 fn checksum(bytes: &[u8]) -> u64 {
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-fn fill(seed: u64, index: usize) -> u8 {
+/// The byte at an index of the body, so that bodies of different requests differ.
+fn filler_byte(seed: u64, index: usize) -> u8 {
     b'a' + ((seed >> (index % 8 * 8)) as usize).wrapping_add(index).wrapping_rem(26) as u8
 }
--- a/crates/mustardpin-standin/src/target/run.rs
+++ b/crates/mustardpin-standin/src/target/run.rs
@@ -1,4 +1,4 @@
-//! The table of runs: what a target is running and what it ran.
+//! The table of runs: requests that a target is running or has run.
 
 use std::time::{Duration, Instant};
 
@@ -12,41 +12,41 @@
     control::Control,
     target::{
         announce::Announcement,
-        arguments::{Arguments, Distribution, Misleading},
+        arguments::{AnnouncementOverrides, Arguments, Distribution},
     },
 };
 
-/// How much longer runs take while the target is cold.
-const COLD_FACTOR: u32 = 4;
+/// The factor on service times during the cold start.
+const COLD_START_FACTOR: u32 = 4;
 
-/// The longest exponential service time, as a multiple of the mean.
-const LONGEST_FACTOR: f64 = 10.0;
+/// The maximum exponential service time, as a multiple of the mean.
+const MAX_EXPONENTIAL_FACTOR: f64 = 10.0;
 
-/// Runs that are remembered; later ones are only counted.
-const CAPACITY: usize = 200_000;
+/// The maximum number of runs in the table. Later requests are declined and counted as such.
+const MAX_RUNS: usize = 200_000;
 
-/// Names a row of the table of runs.
+/// The index of a row in the table of runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunKey(u32);
 
-/// How far a run has come.
+/// The state of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// It has a slot.
+    /// It occupies a slot.
     Running,
-    /// Its whole answer was sent.
+    /// Its complete response was sent.
     Ended,
-    /// Its caller went away before the answer was sent.
+    /// Its caller disconnected before the response was sent.
     Cancelled,
 }
 
-/// A header as the target saw it.
+/// A request header as the target received it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Its name, in lower case.
+    /// The header's name, in lower case.
     pub name: CompactString,
-    /// Its value, with other characters in place of what is not text.
+    /// The header's value, with replacement characters for bytes that are not UTF-8.
     pub value: String,
 }
 
@@ -58,79 +58,79 @@
     pub method: CompactString,
     /// The path, without the query.
     pub path: CompactString,
-    /// The idempotency key, if it came with one.
+    /// The idempotency key, if the request has one.
     pub idempotency_key: Option<CompactString>,
-    /// All headers.
+    /// All headers of the request.
     pub headers: Vec<Header>,
-    /// How far it has come.
+    /// The state of the run.
     pub stage: Stage,
 }
 
-/// What the target ran, for tests.
+/// The response to `GET /standin/ran`, for tests.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Report {
-    /// Every request it ran, in the order of arrival.
+    /// Every request that the target ran, in the order of arrival.
     pub ran: Vec<Run>,
-    /// Requests it declined.
+    /// The number of requests that it declined.
     pub declined: u64,
-    /// Runs cancelled.
+    /// The number of runs whose caller disconnected before the end.
     pub cancelled: u64,
-    /// The most requests it ran at once.
+    /// The maximum number of requests that it ran at once.
     pub most_running: u32,
 }
 
-/// Changes of behaviour at run time. What is left out stays.
+/// The body of `POST /standin/mode`. Fields that are left out change nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Mode {
-    /// Mean time of a run, in milliseconds.
+    /// The mean service time of a run, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub service_time_ms: Option<u64>,
-    /// Requests it runs at once.
+    /// The number of requests that the target can run at once.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// Whether it declines everything and says so.
+    /// Whether the target declines every request and announces so.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub draining: Option<bool>,
-    /// The health it reports.
+    /// The health that the target announces.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub healthy: Option<bool>,
 }
 
-/// A slot for a request, and how long the run takes.
+/// The slot that an admitted request occupies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Slot {
-    /// The run.
+    /// The key of the run.
     pub run: RunKey,
-    /// How long it takes.
+    /// How long the run takes, without its downstream calls.
     pub service_time: Duration,
 }
 
-/// What the traffic side tells the table.
+/// Events and queries from the HTTP handler and the announcer.
 #[derive(Debug)]
 pub enum Event {
-    /// A request wants a slot.
+    /// A request has arrived. The reply is its slot, or `None` if it is declined.
     Arrived(Run, oneshot::Sender<Option<Slot>>),
-    /// The whole answer of a run was sent.
+    /// The complete response of a run was sent.
     Ended(RunKey),
-    /// The caller of a run went away.
+    /// The caller of a run disconnected.
     Cancelled(RunKey),
-    /// Asks what the target ran.
+    /// Queries what the target ran.
     Report(oneshot::Sender<Report>),
-    /// Asks what the target says of itself.
+    /// Queries the contents of the next announcement.
     Announcement(oneshot::Sender<Announcement>),
-    /// Changes the behaviour.
+    /// Changes slots, service time, draining or health.
     SetMode(Mode),
-    /// Declines everything from now on, and replies once nothing runs.
+    /// Declines every request from now on, and replies once no request is running.
     Drain(oneshot::Sender<()>),
 }
 
-/// Everything a target keeps.
+/// The state of a target: the table of runs and the values it announces.
 #[derive(Debug)]
 pub struct TargetState {
     announcement: Announcement,
-    misleading: Misleading,
+    overrides: AnnouncementOverrides,
     slots: u32,
     service_time: Duration,
     distribution: Distribution,
@@ -139,11 +139,11 @@
     runs: Vec<Run>,
     running: u32,
     report: Report,
-    idle: Vec<oneshot::Sender<()>>,
+    drain_replies: Vec<oneshot::Sender<()>>,
 }
 
 impl TargetState {
-    /// A target that runs nothing yet.
+    /// Creates the state of a target that has run no request.
     pub fn new(arguments: &Arguments) -> TargetState {
         TargetState {
             announcement: Announcement {
@@ -154,7 +154,7 @@
                 draining: false,
                 running: 0,
             },
-            misleading: arguments.misleading,
+            overrides: arguments.overrides,
             slots: arguments.slots,
             service_time: arguments.service_time,
             distribution: arguments.distribution,
@@ -163,30 +163,30 @@
             runs: Vec::new(),
             running: 0,
             report: Report::default(),
-            idle: Vec::new(),
+            drain_replies: Vec::new(),
         }
     }
 
     fn handle(&mut self, event: Event) {
-        // A reply that nobody waits for any more is dropped.
+        // A reply is dropped if its request has ended in the meantime.
         match event {
             Event::Arrived(run, reply) => self.arrive(run, reply),
-            Event::Ended(run) => self.leave(run, Stage::Ended),
+            Event::Ended(run) => self.end_run(run, Stage::Ended),
             Event::Cancelled(run) => {
                 self.report.cancelled += 1;
-                self.leave(run, Stage::Cancelled);
+                self.end_run(run, Stage::Cancelled);
             }
             Event::Report(reply) => {
                 let report = Report { ran: self.runs.clone(), ..self.report.clone() };
-                let _gone = reply.send(report);
+                let _receiver_dropped = reply.send(report);
             }
             Event::Announcement(reply) => {
-                let _gone = reply.send(self.announcement());
+                let _receiver_dropped = reply.send(self.announcement());
             }
             Event::SetMode(mode) => self.set_mode(mode),
             Event::Drain(reply) => {
                 self.announcement.draining = true;
-                self.idle.push(reply);
+                self.drain_replies.push(reply);
             }
         }
     }
@@ -195,13 +195,13 @@
         let slot = self.admit(run);
         if let Err(Some(slot)) = reply.send(slot) {
             self.report.cancelled += 1;
-            self.leave(slot.run, Stage::Cancelled);
+            self.end_run(slot.run, Stage::Cancelled);
         }
     }
 
     fn admit(&mut self, run: Run) -> Option<Slot> {
-        let full = self.running >= self.slots || self.runs.len() >= CAPACITY;
-        if full || self.announcement.draining {
+        let is_full = self.running >= self.slots || self.runs.len() >= MAX_RUNS;
+        if is_full || self.announcement.draining {
             self.report.declined += 1;
             return None;
         }
@@ -209,30 +209,32 @@
         self.runs.push(run);
         self.running += 1;
         self.report.most_running = self.report.most_running.max(self.running);
-        Some(Slot { run: key, service_time: self.draw_service_time() })
+        Some(Slot { run: key, service_time: self.sample_service_time() })
     }
 
-    fn leave(&mut self, run: RunKey, stage: Stage) {
+    fn end_run(&mut self, run: RunKey, stage: Stage) {
         self.runs[run.0 as usize].stage = stage;
         self.running -= 1;
     }
 
-    fn draw_service_time(&mut self) -> Duration {
-        let cold = Instant::now() < self.cold_until;
-        let mean = if cold { self.service_time * COLD_FACTOR } else { self.service_time };
+    fn sample_service_time(&mut self) -> Duration {
+        let is_cold = Instant::now() < self.cold_until;
+        let mean = if is_cold { self.service_time * COLD_START_FACTOR } else { self.service_time };
         let uniform: f64 = self.rng.random();
         match self.distribution {
             Distribution::Constant => mean,
             Distribution::Uniform => mean.mul_f64(0.5 + uniform),
-            Distribution::Exponential => mean.mul_f64((-(1.0 - uniform).ln()).min(LONGEST_FACTOR)),
+            Distribution::Exponential => {
+                mean.mul_f64((-(1.0 - uniform).ln()).min(MAX_EXPONENTIAL_FACTOR))
+            }
         }
     }
 
     fn announcement(&self) -> Announcement {
         Announcement {
-            running: self.misleading.running.unwrap_or(self.running),
-            slots: self.misleading.slots.unwrap_or(self.slots),
-            healthy: self.misleading.healthy.unwrap_or(self.announcement.healthy),
+            running: self.overrides.running.unwrap_or(self.running),
+            slots: self.overrides.slots.unwrap_or(self.slots),
+            healthy: self.overrides.healthy.unwrap_or(self.announcement.healthy),
             ..self.announcement.clone()
         }
     }
@@ -255,8 +257,8 @@
             self.handle(event);
         }
         if self.running == 0 {
-            for reply in self.idle.drain(..) {
-                let _gone = reply.send(());
+            for reply in self.drain_replies.drain(..) {
+                let _receiver_dropped = reply.send(());
             }
         }
     }
--- a/crates/mustardpin-standin/tests/testsuite/load.rs
+++ b/crates/mustardpin-standin/tests/testsuite/load.rs
@@ -1,4 +1,4 @@
-//! The load generator against a target's stand-in, without a node in between.
+//! Tests of the load generator against a target's stand-in, without a node in between.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -33,23 +33,23 @@
 }
 
 #[tokio::test]
-async fn whole_answers_are_counted() {
+async fn complete_responses_are_counted() {
     let address = start(64).await;
     let report = load::run(load(address, "1 GET /slots?bytes=100000")).await;
     let row = &report.tally().teams[0];
     assert!(row.due > 0);
-    assert_eq!((row.whole, report.broken_promises()), (row.due, &[][..]), "{report}");
+    assert_eq!((row.complete, report.broken_promises()), (row.due, &[][..]), "{report}");
 }
 
 #[tokio::test]
-async fn cut_answers_fail_visibly() {
+async fn truncated_responses_count_as_cut_off() {
     let address = start(64).await;
     let arguments =
         Load { strict_cuts: true, ..load(address, "1 GET /slots?bytes=100000&cut-after=50000") };
     let report = load::run(arguments).await;
     let row = &report.tally().teams[0];
     let expected = format!("{} requests were cut off", row.due);
-    assert_eq!((row.whole, report.broken_promises()), (0, &[expected][..]), "{report}");
+    assert_eq!((row.complete, report.broken_promises()), (0, &[expected][..]), "{report}");
 }
 
 #[tokio::test]
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn a_key_seen_by_a_target_is_a_broken_promise() {
+async fn a_key_received_by_a_target_is_a_broken_promise() {
     let address = start(64).await;
     let teams = vec!["garage,garage-1.s3cret,100".parse().expect("a team")];
     let report = load::run(Load { teams, ..load(address, "1 POST /bookings once") }).await;
