--- a/crates/mustardpin-standin/src/target.rs
+++ b/crates/mustardpin-standin/src/target.rs
@@ -1,10 +1,11 @@
-//! The target's stand-in: runs requests in slots, calls further services and tells what it ran.
+//! A stand-in for a target: runs requests in slots, calls downstream services and reports what it
+//! ran.
 
 pub mod announce;
-pub mod answer;
 pub mod arguments;
 pub mod chain;
-pub mod front;
+pub mod handler;
+pub mod response_body;
 pub mod run;
 
 use std::sync::Arc;
@@ -13,14 +14,14 @@
 
 use crate::{
     control, http,
-    target::{announce::Announcer, arguments::Arguments, front::Target, run::Event},
+    target::{announce::Announcer, arguments::Arguments, handler::Target, run::Event},
 };
 
-/// Serves until the process is told to stop and has finished what it was running.
+/// Serves until SIGTERM arrives and all running requests have ended.
 pub async fn run(arguments: Arguments) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::bind(arguments.address).await?;
     let mut terminate = signal(SignalKind::terminate())?;
-    let (handle, _thread) = control::start(run::Site::new(&arguments));
+    let (handle, _thread) = control::start(run::TargetState::new(&arguments));
     let caller = http::caller(false);
     let target = Target::new(handle.clone(), caller.clone(), &arguments);
     tokio::spawn(http::serve(listener, Arc::new(target)));
@@ -33,7 +34,7 @@
     handle.send(Event::Drain(sender));
     announcer.announce().await;
     let _idle_or_ending = idle.await;
-    // The last answers are still on their way through the sockets.
+    // The sockets may still hold parts of the last responses.
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     Ok(())
 }
--- a/tests/testsuite/soak/run.rs
+++ b/tests/testsuite/soak/run.rs
@@ -95,7 +95,7 @@
             name: name.into(),
             key: Some(key.into()),
             rate,
-            withdrawn_mark: (name == "sellers").then(|| withdrawn_file.clone()),
+            withdrawal_file: (name == "sellers").then(|| withdrawn_file.clone()),
         };
         let unlimited = [team("garages", &key, 150.0), team("sellers", &withdrawn, 50.0)];
         let routes = ["4 GET /slots", "2 GET /ledger", "3 POST /bookings once"];
@@ -143,7 +143,7 @@
         }
         let elapsed = self.started.elapsed();
         for report in &reports {
-            broken.extend(report.broken().iter().cloned());
+            broken.extend(report.broken_promises().iter().cloned());
         }
         let max_runs = f64::from(LIMITED_BURST) + f64::from(LIMITED_RATE) * elapsed.as_secs_f64();
         let ran = self.count_runs("limited").await;
--- a/tests/testsuite/stop.rs
+++ b/tests/testsuite/stop.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use mustardpin_standin::{http, target::answer};
+use mustardpin_standin::{http, target::response_body};
 use tokio::{io::AsyncWriteExt as _, net::TcpStream};
 
 use crate::fleet::{CallerRequest, Fleet, slot};
@@ -40,7 +40,7 @@
     for response in join_all(slow).await {
         let response = response.expect("the task ends");
         assert_eq!((response.status, response.reason.as_str()), (200, ""), "{}", fleet.logs());
-        assert_eq!(answer::check(&response.body, "/slots"), Ok(()));
+        assert_eq!(response_body::check(&response.body, "/slots"), Ok(()));
     }
     let status = fleet.slots[0].node.wait();
     assert_eq!(status.code(), Some(0), "{}", fleet.logs());
