--- a/crates/mustardpin-virtual/tests/testsuite/configuration.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/configuration.rs
@@ -1,4 +1,5 @@
-//! Operators' changes: in force everywhere within seconds, whole, and never reverted.
+//! Operators' changes of the configuration are atomic, in force everywhere within 3 s, and never
+//! reverted.
 
 use std::{collections::BTreeMap, fmt::Write as _};
 
@@ -16,13 +17,13 @@
 
 use crate::{
     faults::Faults,
-    scenario::{KEPT, Scenario, WITHDRAWN, for_seeds, key, route, team, withdrawal},
+    scenario::{Scenario, VALID_KEY, WITHDRAWN_KEY, for_seeds, key, route, team, withdrawal},
 };
 
-/// The time within which an accepted change is in force everywhere.
-const IN_FORCE: Millis = Millis::from_secs(3);
+/// The maximum time from the acceptance of a change until it is in force everywhere.
+const MAX_PROPAGATION_DELAY: Millis = Millis::from_secs(3);
 
-/// Withdraws the key while something fails. Returns when the platform accepted it.
+/// Withdraws the key during a failure. Returns when the platform accepted the withdrawal.
 type Case = fn(&mut Scenario) -> Millis;
 
 const CASES: [(&str, Case); 13] = [
@@ -129,7 +130,7 @@
     matches!(message, Message::Configuration(configuration::Message::Have { .. }))
 }
 
-/// Cuts the west off from the other data centres, and from the platform if wanted.
+/// Cuts west off from the other data centres and, if `from_platform`, from the platform.
 fn cut(scenario: &mut Scenario, from_platform: bool) {
     scenario.fleet.network.cut("north", "west");
     scenario.fleet.network.cut("south", "west");
@@ -148,27 +149,30 @@
             println!("{name}");
             let accepted = case(&mut scenario);
             scenario.load_for(Millis::from_secs(12));
-            // Without news from the platform no key is served.
+            // No key is served without updates from the platform.
             scenario.fleet.platform.mode = PlatformMode::Up;
-            scenario.load_for(IN_FORCE + Millis::from_secs(2));
-            let before = scenario.runs_of(WITHDRAWN).filter(|&at| at < accepted).count();
-            assert!(before > 50, "{name}, seed {seed}: the key was in use");
-            let last = scenario.runs_of(WITHDRAWN).next_back().unwrap();
+            scenario.load_for(MAX_PROPAGATION_DELAY + Millis::from_secs(2));
+            let before = scenario.runs_with_key(WITHDRAWN_KEY).filter(|&at| at < accepted).count();
             assert!(
-                last <= accepted + IN_FORCE,
-                "{name}, seed {seed}: ran {} late",
+                before > 50,
+                "{name}, seed {seed}: {before} runs of the key before its withdrawal"
+            );
+            let last = scenario.runs_with_key(WITHDRAWN_KEY).next_back().unwrap();
+            assert!(
+                last <= accepted + MAX_PROPAGATION_DELAY,
+                "{name}, seed {seed}: last run {} after the acceptance",
                 last - accepted
             );
             let recent = scenario.fleet.now - Millis(2_000);
-            let kept = scenario.runs_of(KEPT).filter(|&at| at >= recent).count();
-            assert!(kept > 100, "{name}, seed {seed}: {kept} runs of the other key at the end");
-            let refused = refused_unknowing(&scenario, recent);
-            assert_eq!(refused, 0, "{name}, seed {seed}: the other key refused at the end");
+            let valid = scenario.runs_with_key(VALID_KEY).filter(|&at| at >= recent).count();
+            assert!(valid > 100, "{name}, seed {seed}: {valid} runs of the other key at the end");
+            let refused = refused_without_configuration(&scenario, recent);
+            assert_eq!(refused, 0, "{name}, seed {seed}: refusals of the other key at the end");
             if seed == 0 {
-                let answer = scenario.fleet.answers.get(&1);
-                let answer =
-                    answer.map_or("none", |answer| if answer.is_ok() { "ok" } else { "error" });
-                writeln!(report, "{name}: answer {answer}, last run {} after", last - accepted)
+                let reply = scenario.fleet.answers.get(&1);
+                let reply =
+                    reply.map_or("none", |reply| if reply.is_ok() { "ok" } else { "error" });
+                writeln!(report, "{name}: answer {reply}, last run {} after", last - accepted)
                     .unwrap();
             }
         });
@@ -176,8 +180,9 @@
     insta::assert_snapshot!(report);
 }
 
-/// Refusals of the key that stays, since a point, for want of knowledge.
-fn refused_unknowing(scenario: &Scenario, since: Millis) -> usize {
+/// How many requests with the valid key, sent since a time, were refused for lack of fresh
+/// configuration.
+fn refused_without_configuration(scenario: &Scenario, since: Millis) -> usize {
     let is_refused = |received: &&Received| {
         let Some(Verdict::Refuse(refusal)) = &received.verdict else { return false };
         let reasons = [Reason::CutOff, Reason::KeyUnknown, Reason::KeyWithdrawn, Reason::Starting];
@@ -188,7 +193,8 @@
     recent.filter(is_refused).count()
 }
 
-/// Keys issued and withdrawn one after another while anything may fail: none works again.
+/// Thirty keys are issued and withdrawn one after another during random failures. No withdrawn key
+/// may work again.
 #[test]
 fn a_withdrawn_key_never_works_again_whatever_fails() {
     for_seeds(|seed| {
@@ -214,8 +220,12 @@
         faults.end(&mut scenario);
         scenario.load_for(Millis::from_secs(12));
         for (key, &at) in &withdrawn {
-            let last = scenario.runs_of(key).next_back().unwrap_or_default();
-            assert!(last <= at + IN_FORCE, "seed {seed}: {key} ran {} late", last - at);
+            let last = scenario.runs_with_key(key).next_back().unwrap_or_default();
+            assert!(
+                last <= at + MAX_PROPAGATION_DELAY,
+                "seed {seed}: last run of {key} {} after its withdrawal",
+                last - at
+            );
         }
         assert!(withdrawn.len() >= 5, "seed {seed}: {} of 30 changes accepted", withdrawn.len());
     });
@@ -225,9 +235,10 @@
     matches!(row, Row::Key(key) if key.withdrawn)
 }
 
-/// Two operators change the same at the same moment through nodes far apart.
+/// Two operators change the same configuration at about the same time through nodes of two data
+/// centres. The platform accepts one change.
 #[test]
-fn of_two_operators_racing_one_learns_what_the_other_changed() {
+fn the_later_of_two_concurrent_changes_gets_a_conflict_with_the_changed_rows() {
     for mode in [PlatformMode::Up, PlatformMode::LoseAnswers] {
         for_seeds(|seed| {
             let mut scenario = Scenario::start(seed, CutOffPolicy::Refuse);
@@ -237,28 +248,29 @@
             scenario.fleet.run_for(Millis(seed % 7));
             scenario.propose(Site(4), 2, "two", expected, vec![team("garage"), team("third")]);
             scenario.fleet.run_for(Millis::from_secs(4));
-            let answers: Vec<_> = scenario.fleet.answers.values().cloned().collect();
+            let replies: Vec<_> = scenario.fleet.answers.values().cloned().collect();
             let actual = scenario.revision(Site(8));
-            let is_first = answers[0].is_ok();
-            let won =
+            let is_first = replies[0].is_ok();
+            let winning_rows =
                 if is_first { vec!["key/garage-1"] } else { vec!["team/garage", "team/third"] };
             let (winner, loser) = if is_first { (0, 1) } else { (1, 0) };
-            assert_eq!(answers[winner], Ok(actual), "seed {seed}");
+            assert_eq!(replies[winner], Ok(actual), "seed {seed}");
             let Err(ChangeError::Conflict { expected: seen, actual: now, changed }) =
-                &answers[loser]
+                &replies[loser]
             else {
-                panic!("seed {seed}: {answers:?}");
+                panic!("seed {seed}: {replies:?}");
             };
             let changed: Vec<String> = changed.iter().map(Path::to_string).collect();
-            let strings: Vec<&str> = changed.iter().map(String::as_str).collect();
-            assert_eq!((*seen, *now, &strings[..]), (expected, actual, &won[..]));
+            let changed_rows: Vec<&str> = changed.iter().map(String::as_str).collect();
+            assert_eq!((*seen, *now, &changed_rows[..]), (expected, actual, &winning_rows[..]));
         });
     }
 }
 
-/// The platform does not answer in time; the operator asks again at another node.
+/// The platform doesn't reply in time, and the operator proposes the change again through another
+/// node.
 #[test]
-fn a_change_asked_again_elsewhere_has_its_true_outcome() {
+fn a_change_proposed_again_through_another_node_reports_its_true_outcome() {
     let mut report = String::new();
     for (name, takes_effect) in [("the write took effect", true), ("it did not", false)] {
         let mut scenario = Scenario::start(1, CutOffPolicy::Refuse);
@@ -273,23 +285,23 @@
             scenario.withdraw(Site(0));
         }
         scenario.fleet.run_for(Millis::from_secs(8));
-        let revision = scenario.fleet.platform.version();
+        let before = scenario.fleet.platform.version();
         scenario.fleet.platform.mode = PlatformMode::Up;
         scenario.fleet.run_for(Millis::from_secs(2));
         scenario.propose(Site(5), 2, "withdraw", expected, vec![withdrawal()]);
         scenario.fleet.run_for(Millis::from_secs(2));
-        let written = scenario.fleet.platform.version().0 - revision.0;
+        let written = scenario.fleet.platform.version().0 - before.0;
         writeln!(report, "{name}: {written} written on asking again").unwrap();
-        for (ticket, answer) in &scenario.fleet.answers {
-            writeln!(report, "  {ticket}: {answer:?}").unwrap();
+        for (ticket, reply) in &scenario.fleet.answers {
+            writeln!(report, "  {ticket}: {reply:?}").unwrap();
         }
     }
     insta::assert_snapshot!(report);
 }
 
-/// Changes that must be refused as a whole.
+/// Each of these changes is refused, and none of its rows is written.
 #[test]
-fn a_change_that_does_not_stand_up_is_refused_whole() {
+fn an_invalid_change_is_refused_as_a_whole() {
     let exception = |reason: &str, change: Change| {
         Row::Exception(Exception { name: "peak".into(), change, reason: reason.into() })
     };
@@ -312,7 +324,7 @@
         (vec![key("third-1", "third", false), team("fourth")], vec![]),
         (vec![team("garage"), team("garage")], vec![]),
         (vec![], vec![Path { kind: Kind::Team, name: "garage".into() }]),
-        (vec![], vec![Path { kind: Kind::Key, name: KEPT.into() }]),
+        (vec![], vec![Path { kind: Kind::Key, name: VALID_KEY.into() }]),
         (vec![], vec![Path { kind: Kind::Route, name: "nowhere".into() }]),
         (vec![team(" ")], vec![]),
         (
@@ -346,15 +358,15 @@
     Row::Route(Route { path_prefix: "search".into(), ..route })
 }
 
-/// A withdrawn key can't be issued again under its id.
+/// The id of a withdrawn key stays withdrawn for good.
 #[test]
-fn a_withdrawn_key_can_not_be_issued_again() {
+fn a_withdrawn_key_cannot_be_issued_again() {
     let mut scenario = Scenario::start(1, CutOffPolicy::Refuse);
     scenario.withdraw(Site(0));
     scenario.fleet.run_for(Millis(500));
     let expected = scenario.revision(Site(3));
-    scenario.propose(Site(3), 2, "again", expected, vec![key(WITHDRAWN, "garage", false)]);
+    scenario.propose(Site(3), 2, "again", expected, vec![key(WITHDRAWN_KEY, "garage", false)]);
     scenario.fleet.run_for(Millis(500));
-    let answer = scenario.fleet.answers[&2].as_ref().unwrap_err().to_string();
-    insta::assert_snapshot!(answer, @"key/garage-1: was withdrawn for good: issue a new key");
+    let reply = scenario.fleet.answers[&2].as_ref().unwrap_err().to_string();
+    insta::assert_snapshot!(reply, @"key/garage-1: was withdrawn for good: issue a new key");
 }
--- a/crates/mustardpin-virtual/tests/testsuite/faults.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/faults.rs
@@ -1,4 +1,4 @@
-//! Random failures, one after another and together, decided by a seed.
+//! Random failures that follow each other and overlap. The seed decides them.
 
 use mustardpin_virtual::{PlatformMode, Site};
 use mustardpin_world::Millis;
@@ -7,33 +7,34 @@
 
 use crate::scenario::{DATA_CENTRES, Scenario};
 
-/// The longest time between two failures.
-const LONGEST_PAUSE: u64 = 2_500;
+/// The maximum time between two failures, in milliseconds.
+const MAX_INTERVAL_MS: u64 = 2_500;
 
-/// Failures at random times.
+/// Injects failures at random times.
 pub struct Faults {
     rng: Pcg64Mcg,
-    next: Millis,
+    /// When the next failure begins or ends.
+    next_at: Millis,
     frozen: Vec<Site>,
 }
 
 impl Faults {
     pub fn new(seed: u64, now: Millis) -> Faults {
-        Faults { rng: Pcg64Mcg::seed_from_u64(seed ^ 0xfa17), next: now, frozen: Vec::new() }
+        Faults { rng: Pcg64Mcg::seed_from_u64(seed ^ 0xfa17), next_at: now, frozen: Vec::new() }
     }
 
-    /// Whether a node is frozen.
+    /// Whether a node is frozen at present.
     pub fn is_frozen(&self, site: Site) -> bool {
         self.frozen.contains(&site)
     }
 
-    /// Lets something fail or come back, if it is time.
+    /// Begins or ends a random failure, if one is due.
     pub fn step(&mut self, scenario: &mut Scenario) {
         let fleet = &mut scenario.fleet;
-        if fleet.now < self.next {
+        if fleet.now < self.next_at {
             return;
         }
-        self.next = fleet.now + Millis(self.rng.random_range(100..LONGEST_PAUSE));
+        self.next_at = fleet.now + Millis(self.rng.random_range(100..MAX_INTERVAL_MS));
         let sites = fleet.sites().count();
         let site = Site(self.rng.random_range(0..sites));
         let data_centre = DATA_CENTRES[self.rng.random_range(0..DATA_CENTRES.len())];
--- a/crates/mustardpin-virtual/tests/testsuite/freshness.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/freshness.rs
@@ -8,16 +8,16 @@
     config::{Change, CutOffPolicy, Exception, Row},
 };
 
-use crate::scenario::{Scenario, WITHDRAWN, for_seeds};
+use crate::scenario::{Scenario, WITHDRAWN_KEY, for_seeds};
 
 /// How long each cut lasts.
-const CUT: Millis = Millis::from_secs(20);
-/// For how long a policy lets a cut-off data centre go on.
+const CUT_DURATION: Millis = Millis::from_secs(20);
+/// How long a cut-off data centre may go on serving under the policies that allow it.
 const GRACE: Millis = Millis::from_secs(8);
-/// The time within which requests with keys are served again once the platform is back.
-const BACK_WITHIN: Millis = Millis::from_secs(2);
-/// The window of freshness, with the time between two ticks.
-const WINDOW: Millis = Millis(2_600);
+/// The maximum time from the platform's recovery until requests with keys are served again.
+const MAX_RECOVERY_TIME: Millis = Millis::from_secs(2);
+/// The freshness window plus the time between two ticks.
+const MAX_CONFIGURATION_AGE: Millis = Millis(2_600);
 
 type Cut = fn(&mut Scenario);
 
@@ -50,7 +50,7 @@
 
 /// What each data centre serves and refuses during a cut and after it, under each policy.
 #[test]
-fn what_a_cut_off_data_centre_serves() {
+fn requests_served_during_cuts_by_cut_off_policy() {
     let policies = [
         ("refuse", CutOffPolicy::Refuse, vec![]),
         ("serve for 8 s", CutOffPolicy::Serve(GRACE), vec![]),
@@ -63,7 +63,7 @@
             scenario.load_for(Millis::from_secs(3));
             let start = scenario.fleet.now;
             cut(&mut scenario);
-            scenario.load_for(CUT);
+            scenario.load_for(CUT_DURATION);
             scenario.fleet.network.heal();
             scenario.fleet.platform.mode = PlatformMode::Up;
             scenario.load_for(Millis::from_secs(8));
@@ -71,8 +71,8 @@
             let phases = [
                 ("0 to 2 s", Millis(0), Millis(2_000)),
                 ("3 to 8 s", Millis(3_000), Millis(8_000)),
-                ("9 to 20 s", Millis(9_000), CUT),
-                ("3 s after", CUT + Millis(3_000), CUT + Millis(7_000)),
+                ("9 to 20 s", Millis(9_000), CUT_DURATION),
+                ("3 s after", CUT_DURATION + Millis(3_000), CUT_DURATION + Millis(7_000)),
             ];
             for (phase, from, to) in phases {
                 let [north, west] = ["north", "west"]
@@ -85,9 +85,10 @@
     insta::assert_snapshot!(report);
 }
 
-/// A policy to go on bounds how long a withdrawn key works in the data centre that goes on.
+/// A cut-off data centre that may go on serving doesn't learn that a key was withdrawn. The grace
+/// bounds how long the key still works there.
 #[test]
-fn a_policy_to_go_on_ends_with_its_grace() {
+fn a_withdrawn_key_works_in_a_cut_off_data_centre_until_the_grace_ends() {
     for_seeds(|seed| {
         let mut scenario = Scenario::start(seed, CutOffPolicy::Serve(GRACE));
         scenario.load_for(Millis::from_secs(2));
@@ -96,14 +97,14 @@
         let cut = scenario.fleet.now;
         scenario.withdraw(Site(0));
         scenario.load_until_accepted();
-        scenario.load_for(CUT);
-        let last = scenario.runs_of(WITHDRAWN).next_back().unwrap();
-        assert!(last > cut + WINDOW, "seed {seed}: west went on");
+        scenario.load_for(CUT_DURATION);
+        let last = scenario.runs_with_key(WITHDRAWN_KEY).next_back().unwrap();
+        assert!(last > cut + MAX_CONFIGURATION_AGE, "seed {seed}: west stopped serving at the cut");
         assert!(last <= cut + GRACE, "seed {seed}: ran {} after the cut", last - cut);
     });
 }
 
-/// An outage of the platform within the grace that operators allow stops nothing.
+/// The outage lasts 60 s, the grace 90 s.
 #[test]
 fn an_outage_of_the_platform_within_the_grace_stops_nothing() {
     for_seeds(|seed| {
@@ -119,8 +120,8 @@
     });
 }
 
-/// Without a grace, an outage of the platform stops requests with keys, no others, and only until
-/// the platform is back.
+/// Without a grace, an outage of the platform stops only requests with keys, and only until the
+/// platform is up again.
 #[test]
 fn an_outage_of_the_platform_without_a_grace_stops_only_requests_with_keys() {
     for_seeds(|seed| {
@@ -129,22 +130,29 @@
         scenario.fleet.platform.mode = PlatformMode::Down;
         scenario.load_for(Millis::from_secs(60));
         scenario.fleet.platform.mode = PlatformMode::Up;
-        scenario.load_for(BACK_WITHIN);
-        let back = scenario.fleet.now;
+        scenario.load_for(MAX_RECOVERY_TIME);
+        let recovered = scenario.fleet.now;
         scenario.load_for(Millis::from_secs(5));
         let received = scenario.fleet.received.iter().filter(|received| received.sent >= start);
         for received in received.filter(|received| !received.is_whole()) {
             assert_ne!(received.root % 3, 2, "seed {seed}: a request without a key was refused");
             assert!(received.is_not_run(), "seed {seed}: {received:?}");
-            assert!(received.sent < back, "seed {seed}: refused {}", received.sent - back);
-            assert!(received.sent > start + Millis(1_500), "seed {seed}: refused at once");
+            assert!(
+                received.sent < recovered,
+                "seed {seed}: refused {} after the recovery",
+                received.sent - recovered
+            );
+            assert!(
+                received.sent > start + Millis(1_500),
+                "seed {seed}: refused before the configuration was stale"
+            );
         }
     });
 }
 
-/// A process that was frozen sees the age of its knowledge before it admits anything.
+/// A process that was frozen checks the age of its configuration before it admits a request.
 #[test]
-fn a_resumed_node_admits_nothing_on_old_knowledge() {
+fn a_resumed_node_admits_nothing_by_stale_configuration() {
     for_seeds(|seed| {
         let mut scenario = Scenario::start(seed, CutOffPolicy::Refuse);
         scenario.load_for(Millis::from_secs(2));
@@ -154,7 +162,11 @@
         scenario.load_for(Millis::from_secs(6));
         scenario.fleet.resume(Site(7));
         scenario.load_for(Millis(100));
-        let last = scenario.runs_of(WITHDRAWN).next_back().unwrap();
-        assert!(last < accepted + WINDOW, "seed {seed}: ran {} after", last - accepted);
+        let last = scenario.runs_with_key(WITHDRAWN_KEY).next_back().unwrap();
+        assert!(
+            last < accepted + MAX_CONFIGURATION_AGE,
+            "seed {seed}: ran {} after the acceptance",
+            last - accepted
+        );
     });
 }
--- a/crates/mustardpin-virtual/tests/testsuite/main.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the virtual fleet.
+//! Tests of fleets of nodes in virtual time.
 
 mod bookings;
 mod configuration;
@@ -10,7 +10,7 @@
 mod overload;
 mod path;
 mod quarantine;
-mod rating;
+mod rate_limit;
 mod retry;
 mod roster;
 mod routing;
--- a/crates/mustardpin-virtual/tests/testsuite/membership.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/membership.rs
@@ -1,12 +1,12 @@
-//! Who is there: found, missed, forgotten, and back again.
+//! How nodes find their peers, notice that one has failed, forget it, and find it again.
 
 use mustardpin_virtual::{Fleet, Service, Site};
 use mustardpin_world::{Millis, Options, table::peer::Peer};
 
-/// The longest time until a node that nobody reaches is forgotten.
-const FORGOTTEN_AFTER: Millis = Millis::from_secs(21);
+/// The maximum time until peers forget a node that none of them reaches.
+const MAX_FORGET_DELAY: Millis = Millis::from_secs(21);
 
-/// A fleet of three nodes in each of three data centres, as it stands after ten seconds.
+/// A fleet of three nodes in each of three data centres, after ten seconds.
 fn fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(seed, Options::default());
     for data_centre in ["north", "south", "west"] {
@@ -18,7 +18,7 @@
     fleet
 }
 
-/// The number of peers that each node knows, and of those that it reaches.
+/// For each node, the number of peers that it knows and the number that it has a link to.
 fn peers(fleet: &Fleet) -> Vec<(usize, usize)> {
     let worlds = fleet.sites().map(|site| fleet.world_at(site));
     let peers = worlds.map(|world| &world.tables().peers);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_killed_node_is_forgotten_by_all_others_and_found_again() {
+fn a_killed_node_is_forgotten_by_its_peers_and_found_after_a_restart() {
     let mut fleet = fleet(1);
     assert_eq!(peers(&fleet), [(8, 8); 9]);
     fleet.kill(Site(4));
@@ -37,8 +37,8 @@
         others.remove(4);
         others
     };
-    assert_eq!(others(&fleet), [(8, 7); 8], "it may come back soon");
-    fleet.run_for(FORGOTTEN_AFTER);
+    assert_eq!(others(&fleet), [(8, 7); 8], "a failed peer may restart soon");
+    fleet.run_for(MAX_FORGET_DELAY);
     assert_eq!(others(&fleet), [(7, 7); 8]);
     fleet.restart(Site(4));
     fleet.run_for(Millis::from_secs(2));
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn a_node_that_starts_again_is_found_at_once() {
+fn a_restarted_node_is_found_within_1500_ms() {
     let mut fleet = fleet(2);
     fleet.restart(Site(4));
     fleet.run_for(Millis(1_500));
     assert_eq!(peers(&fleet), [(8, 8); 9]);
 }
 
-/// A node that starts while the platform is down finds the others through one of them.
+/// The restarted node knows only the address of one peer, which is in its settings.
 #[test]
-fn a_node_that_starts_without_the_platform_finds_the_others_through_one_of_them() {
+fn a_node_that_starts_without_the_platform_finds_its_peers_through_one_of_them() {
     let mut fleet = fleet(3);
     fleet.platform.mode = mustardpin_virtual::PlatformMode::Down;
     fleet.restart(Site(4));
--- a/crates/mustardpin-virtual/tests/testsuite/once.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/once.rs
@@ -1,4 +1,5 @@
-//! Each sending of a non-repeatable request runs at most once, and "not-run" is true.
+//! A non-repeatable request runs at most once for each time it is sent, and one that is reported as
+//! "not-run" has not run.
 
 use std::fmt::Write as _;
 
@@ -11,23 +12,23 @@
     support::seeds,
 };
 
-/// Seeds that run without being asked for.
-const FEW: u64 = 4;
+/// Number of seeds without `MUSTARDPIN_SEEDS`, and of those in the snapshots.
+const DEFAULT_SEEDS: u64 = 4;
 
-/// What the callers of some bookings received. Fails if a promise was broken.
-fn answers(bookings: &Bookings, roots: &[u64]) -> String {
-    assert_eq!(bookings.breaches(), Vec::<String>::new());
-    let answers: Vec<String> = roots.iter().map(|&root| bookings.answer(root)).collect();
-    answers.join("\n")
+/// What the callers of some bookings received. Fails if the guarantee was violated.
+fn responses(bookings: &Bookings, roots: &[u64]) -> String {
+    assert_eq!(bookings.violations(), Vec::<String>::new());
+    let received: Vec<String> = roots.iter().map(|&root| bookings.response(root)).collect();
+    received.join("\n")
 }
 
 #[test]
-fn a_lost_answer_is_no_reason_to_run_again() {
+fn a_lost_response_does_not_cause_a_second_run() {
     let mut bookings = Bookings::new(1, 2);
     bookings.fleet.network.answer_loss = 1.0;
     let root = bookings.book(bookings.fronts[0], "k1");
     bookings.fleet.run_for(Millis(500));
-    assert_snapshot!(answers(&bookings, &[root]));
+    assert_snapshot!(responses(&bookings, &[root]));
 }
 
 #[test]
@@ -39,7 +40,7 @@
     bookings.fleet.run_for(Millis(100));
     bookings.fleet.crash_target(ledger);
     bookings.fleet.run_for(Millis(500));
-    assert_snapshot!(answers(&bookings, &[root]));
+    assert_snapshot!(responses(&bookings, &[root]));
 }
 
 #[test]
@@ -51,11 +52,11 @@
     bookings.fleet.run_for(Millis(100));
     bookings.fleet.kill(ledger);
     bookings.fleet.run_for(Millis(500));
-    assert_snapshot!(answers(&bookings, &[root]));
+    assert_snapshot!(responses(&bookings, &[root]));
 }
 
 #[test]
-fn a_run_goes_on_without_its_caller() {
+fn a_run_continues_after_its_caller_disconnects() {
     let mut bookings = Bookings::new(4, 2);
     let ledger = bookings.ledgers[0];
     bookings.fleet.target(ledger).slowdown = 20.0;
@@ -66,11 +67,11 @@
     assert_eq!(bookings.fleet.world_at(ledger).tables().target.running, 1);
     bookings.fleet.run_for(Millis::from_secs(4));
     assert_eq!(bookings.fleet.world_at(ledger).tables().target.running, 0);
-    assert_snapshot!(answers(&bookings, &[root]));
+    assert_snapshot!(responses(&bookings, &[root]));
 }
 
 #[test]
-fn a_booking_whose_caller_has_gone_leaves_the_queue_unrun() {
+fn a_queued_booking_whose_caller_disconnects_does_not_run() {
     let mut options = Options::default();
     options.limit = options::Limit { initial: 1, least: 1, most: 1, ..options.limit };
     let mut bookings = Bookings::with_options(5, 1, options);
@@ -81,10 +82,11 @@
     bookings.fleet.run_for(Millis(50));
     bookings.fleet.hang_up(second);
     bookings.fleet.run_for(Millis::from_secs(4));
-    assert_snapshot!(answers(&bookings, &[first, second]));
+    assert_snapshot!(responses(&bookings, &[first, second]));
 }
 
-/// A booking that reached a frozen node is not sent elsewhere, and may run when the node resumes.
+/// A booking that reached a frozen node may run when the node resumes, so it isn't sent to another
+/// node.
 #[test]
 fn a_booking_at_a_frozen_node_is_not_run_elsewhere() {
     let mut bookings = Bookings::new(6, 2);
@@ -94,10 +96,10 @@
     bookings.fleet.freeze(ledger);
     let frozen = bookings.book(bookings.fronts[0], "k1");
     bookings.fleet.run_for(Millis::from_secs(4));
-    let before = bookings.answer(frozen);
+    let before = bookings.response(frozen);
     bookings.fleet.resume(ledger);
     bookings.fleet.run_for(Millis::from_secs(3));
-    assert_snapshot!(format!("{before}\n{}", answers(&bookings, &[warm, frozen])));
+    assert_snapshot!(format!("{before}\n{}", responses(&bookings, &[warm, frozen])));
 }
 
 #[test]
@@ -109,12 +111,12 @@
     bookings.fleet.run_for(Millis(20));
     bookings.fleet.network.cut("north", "west");
     bookings.fleet.run_for(Millis::from_secs(4));
-    assert_snapshot!(answers(&bookings, &[root]));
+    assert_snapshot!(responses(&bookings, &[root]));
 }
 
-/// A short cut delays the answer and loses nothing.
+/// A network cut of 700 ms delays the response and loses nothing.
 #[test]
-fn a_cut_shorter_than_the_connection_lasts_loses_no_answer() {
+fn a_cut_shorter_than_the_connection_timeout_loses_no_response() {
     let mut bookings = Bookings::new(8, 2);
     let ledger = bookings.ledgers[5];
     bookings.fleet.target(ledger).slowdown = 5.0;
@@ -124,12 +126,12 @@
     bookings.fleet.run_for(Millis(700));
     bookings.fleet.network.heal();
     bookings.fleet.run_for(Millis::from_secs(1));
-    assert_snapshot!(answers(&bookings, &[root]));
+    assert_snapshot!(responses(&bookings, &[root]));
 }
 
-/// What a leaving node holds in its queue runs elsewhere.
+/// Requests in the queue of a draining target are sent to another node.
 #[test]
-fn a_booking_in_the_queue_of_a_leaving_target_runs_elsewhere() {
+fn a_booking_in_the_queue_of_a_draining_target_runs_elsewhere() {
     let mut options = Options::default();
     options.limit = options::Limit { initial: 1, least: 1, most: 1, ..options.limit };
     let mut bookings = Bookings::with_options(9, 2, options);
@@ -141,18 +143,19 @@
     bookings.fleet.target(other).draining = false;
     bookings.fleet.target(ledger).draining = true;
     bookings.fleet.run_for(Millis::from_secs(3));
-    assert_snapshot!(answers(&bookings, &[first, second]));
+    assert_snapshot!(responses(&bookings, &[first, second]));
 }
 
-/// Runs schedules with some failures over the seeds, and returns what callers received in the few
-/// first of them.
-fn survive(failures: Failures) -> String {
+/// Runs schedules with some kinds of failures for each seed. Returns what callers received with the
+/// default seeds.
+fn run_schedules(failures: Failures) -> String {
     let mut text = String::new();
-    for seed in seeds(FEW) {
+    for seed in seeds(DEFAULT_SEEDS) {
         let bookings = schedule::run(seed, failures);
-        assert_eq!(bookings.breaches(), Vec::<String>::new(), "seed {seed}, {failures:?}");
-        if seed < FEW {
-            writeln!(text, "seed {seed}\n{}", bookings.summary()).expect("a string takes all text");
+        assert_eq!(bookings.violations(), Vec::<String>::new(), "seed {seed}, {failures:?}");
+        if seed < DEFAULT_SEEDS {
+            writeln!(text, "seed {seed}\n{}", bookings.summary())
+                .expect("writing to a string does not fail");
         }
     }
     text
@@ -160,35 +163,35 @@
 
 #[test]
 fn stops() {
-    assert_snapshot!(survive(Failures { stops: true, ..Failures::default() }));
+    assert_snapshot!(run_schedules(Failures { stops: true, ..Failures::default() }));
 }
 
 #[test]
 fn kills_and_stops() {
-    assert_snapshot!(survive(Failures { kills: true, stops: true, ..Failures::default() }));
+    assert_snapshot!(run_schedules(Failures { kills: true, stops: true, ..Failures::default() }));
 }
 
 #[test]
 fn freezes_and_stops() {
-    assert_snapshot!(survive(Failures { freezes: true, stops: true, ..Failures::default() }));
+    assert_snapshot!(run_schedules(Failures { freezes: true, stops: true, ..Failures::default() }));
 }
 
 #[test]
 fn cuts_and_stops() {
-    assert_snapshot!(survive(Failures { cuts: true, stops: true, ..Failures::default() }));
+    assert_snapshot!(run_schedules(Failures { cuts: true, stops: true, ..Failures::default() }));
 }
 
 #[test]
 fn lost_and_late_messages() {
-    assert_snapshot!(survive(Failures { losses: true, stops: true, ..Failures::default() }));
+    assert_snapshot!(run_schedules(Failures { losses: true, stops: true, ..Failures::default() }));
 }
 
 #[test]
 fn crashes_of_targets() {
-    assert_snapshot!(survive(Failures { crashes: true, ..Failures::default() }));
+    assert_snapshot!(run_schedules(Failures { crashes: true, ..Failures::default() }));
 }
 
 #[test]
 fn every_failure_together() {
-    assert_snapshot!(survive(Failures::ALL));
+    assert_snapshot!(run_schedules(Failures::ALL));
 }
--- a/crates/mustardpin-virtual/tests/testsuite/overload.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/overload.rs
@@ -1,4 +1,4 @@
-//! Regression bounds on the overload experiments, from the stated targets.
+//! Regression bounds on the overload experiments, from the stated objectives.
 
 use mustardpin_virtual::{
     Fleet, Request, Service,
@@ -15,7 +15,7 @@
 
 use crate::support::{self, key, put, route, team};
 
-/// Fails with the seed if a figure is outside its bound, and reports what was checked.
+/// Fails with the seed if a figure is outside its bound; otherwise adds a line to the report.
 struct Report {
     seed: u64,
     lines: String,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn goodput_holds_while_the_deep_service_is_slow_and_comes_back() {
+fn goodput_holds_while_the_deep_service_is_slow_and_then_recovers() {
     const SLOWDOWN: f64 = 5.0;
 
     let mut lines = String::new();
@@ -48,15 +48,15 @@
             share >= 0.9,
             share,
         );
-        let back = outcome.recovery().unwrap_or(Millis::MAX);
-        report.check("A: back within 5 s", back <= Millis::from_secs(5), back.0 as f64);
+        let recovery = outcome.recovery().unwrap_or(Millis::MAX);
+        report.check("A: back within 5 s", recovery <= Millis::from_secs(5), recovery.0 as f64);
         lines = report.lines;
     }
     insta::assert_snapshot!(lines);
 }
 
 #[test]
-fn a_flooding_team_costs_the_others_nothing() {
+fn a_flooding_team_takes_no_capacity_from_the_others() {
     let mut lines = String::new();
     for seed in support::seeds(1) {
         let (_, outcome, mut report) = run(Scenario::RatedFlood, seed + 1);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn half_the_capacity_goes_to_the_important_and_is_shared_fairly() {
+fn half_the_capacity_serves_critical_requests_and_is_shared_fairly() {
     let mut lines = String::new();
     for seed in support::seeds(1) {
         let (deployment, outcome, mut report) = run(Scenario::Halved, seed + 1);
@@ -84,25 +84,25 @@
 }
 
 #[test]
-fn misleading_reports_cost_little() {
+fn false_load_reports_cost_little_goodput() {
     let mut lines = String::new();
     for seed in support::seeds(1) {
-        let yardstick = run(Scenario::TrueReports, seed + 1).1.goodput_in_cause();
+        let baseline = run(Scenario::TrueReports, seed + 1).1.goodput_in_cause();
         let (_, outcome, mut report) = run(Scenario::FalseReports, seed + 1);
-        let share = outcome.goodput_in_cause() / yardstick;
+        let share = outcome.goodput_in_cause() / baseline;
         report.check("D: goodput at least 95% of that with true reports", share >= 0.95, share);
         lines = report.lines;
     }
     insta::assert_snapshot!(lines);
 }
 
-/// A node that falls behind with its own work lets less of it in, the most important first, and
-/// all of it again once it keeps up.
+/// A node whose event loop lags admits fewer requests, the most important first, and all of them
+/// again once the lag is gone.
 #[test]
-fn a_node_that_falls_behind_sheds_at_its_entrance() {
+fn a_lagging_node_sheds_requests_on_arrival() {
     const LAG_PROBE_INTERVAL: Millis = Millis(100);
     const LAG: Millis = Millis(300);
-    const PER_PROBE: usize = 20;
+    const REQUESTS_PER_PROBE: usize = 20;
     let mut fleet = Fleet::new(1, Options::default());
     let site = fleet.add("north", Service::leaf("search", 400, 5.0));
     let urgent = Route::new("urgent", "/urgent", "search", Millis::from_secs(5));
@@ -110,44 +110,45 @@
     put(&mut fleet, vec![team("garage", 5_000, 5_000), key("garage")]);
     put(&mut fleet, vec![Row::Route(route("search")), Row::Route(urgent)]);
     fleet.run_for(Millis::from_secs(5));
-    let phase = |fleet: &mut Fleet, lag: Millis| {
-        let mut whole = [0, 0];
+    let run_phase = |fleet: &mut Fleet, lag: Millis| {
+        let mut complete = [0, 0];
         for probe in 0..60 {
             let due = Millis(fleet.now.0.saturating_sub(lag.0));
             fleet.inject(site, Event::LagProbe(due));
             let mut roots = Vec::new();
-            for number in 0..PER_PROBE {
+            for number in 0..REQUESTS_PER_PROBE {
                 let kind = usize::from(number % 4 == 0);
                 let path = ["/search/slots", "/urgent"][kind];
-                let fingerprint = fleet.now.0 * PER_PROBE as u64 + number as u64;
+                let fingerprint = fleet.now.0 * REQUESTS_PER_PROBE as u64 + number as u64;
                 let request = Request::get(path, "garage-1.secret");
                 roots.push((kind, fleet.send(site, Request { fingerprint, ..request })));
             }
             fleet.run_for(LAG_PROBE_INTERVAL);
-            // The share has settled by then.
+            // The admitted share has settled by then.
             if probe >= 30 {
                 for (kind, root) in roots {
-                    let is_whole = fleet.answer_to(root).is_some_and(|answer| answer.is_whole());
-                    whole[kind] += usize::from(is_whole);
+                    let is_complete =
+                        fleet.answer_to(root).is_some_and(|response| response.is_whole());
+                    complete[kind] += usize::from(is_complete);
                 }
             }
         }
-        whole
+        complete
     };
-    let quick = phase(&mut fleet, Millis::ZERO);
-    let behind = phase(&mut fleet, LAG);
-    let again = phase(&mut fleet, Millis::ZERO);
-    assert_eq!(quick, [450, 150]);
+    let before = run_phase(&mut fleet, Millis::ZERO);
+    let behind = run_phase(&mut fleet, LAG);
+    let after = run_phase(&mut fleet, Millis::ZERO);
+    assert_eq!(before, [450, 150]);
     assert!(behind[0] < 150 && behind[1] > behind[0] / 3, "{behind:?}");
-    assert_eq!(again, [450, 150]);
+    assert_eq!(after, [450, 150]);
 }
 
-/// Estimates may have routes call each other in a circle. What a request costs is worked out in
-/// the same time all the same.
+/// Cost estimates of peers may contain cycles of routes that call each other. Following them must
+/// not make the cost of a request take longer to compute.
 #[test]
-fn estimates_that_go_in_a_circle_cost_no_more_to_follow() {
+fn cyclic_cost_estimates_are_evaluated_in_bounded_time() {
     const ROUTES: usize = 8;
-    const MOST: std::time::Duration = std::time::Duration::from_secs(5);
+    const MAX_DURATION: std::time::Duration = std::time::Duration::from_secs(5);
     let name = |index: usize| format!("route-{index}");
     let mut fleet = Fleet::new(1, Options::default());
     let site = fleet.add("north", Service::leaf("search", 400, 5.0));
@@ -176,6 +177,6 @@
         .collect();
     let begin = std::time::Instant::now();
     fleet.run_for(Millis::from_secs(1));
-    assert!(begin.elapsed() < MOST, "{:?}", begin.elapsed());
+    assert!(begin.elapsed() < MAX_DURATION, "{:?}", begin.elapsed());
     assert!(roots.iter().all(|&root| fleet.answer_to(root).is_some()));
 }
--- a/crates/mustardpin-virtual/tests/testsuite/path.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/path.rs
@@ -1,4 +1,4 @@
-//! One path from end to end: a caller, two nodes, two targets.
+//! A request from end to end: a caller, two nodes and two targets.
 
 use mustardpin_virtual::{Fleet, Request, Service};
 use mustardpin_world::{Millis, Options, config::Row};
--- a/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
@@ -1,4 +1,5 @@
-//! A request that crashes targets stops doing so after two crashes in the whole fleet.
+//! A poison request crashes at most two targets in the whole fleet. After that, every node refuses
+//! it.
 
 use std::fmt::Write as _;
 
@@ -11,18 +12,19 @@
     support::seeds,
 };
 
-const POISON: u64 = 666;
-const FEW: u64 = 3;
+const POISON_FINGERPRINT: u64 = 666;
+const DEFAULT_SEEDS: u64 = 3;
 
-fn poisoned(seed: u64) -> Bookings {
+/// A fleet whose ledgers all crash on the poison request.
+fn fleet_with_poison(seed: u64) -> Bookings {
     let mut bookings = Bookings::new(seed, 2);
     for site in bookings.ledgers.clone() {
-        bookings.fleet.target(site).poison.insert(Fingerprint(POISON));
+        bookings.fleet.target(site).poison.insert(Fingerprint(POISON_FINGERPRINT));
     }
     bookings
 }
 
-fn look(path: &str, fingerprint: u64) -> Request {
+fn get(path: &str, fingerprint: u64) -> Request {
     Request { fingerprint, ..Request::get(path, SECRET) }
 }
 
@@ -31,8 +33,8 @@
     ledgers.into_iter().map(|site| bookings.fleet.target(site).crashes).sum()
 }
 
-/// Lets time pass, and starts crashed targets again after a while.
-fn pass(bookings: &mut Bookings, length: Millis) {
+/// Runs the fleet, then restarts crashed targets, each 300 ms later.
+fn run_and_restart(bookings: &mut Bookings, length: Millis) {
     bookings.fleet.run_for(length);
     for site in bookings.ledgers.clone() {
         if !bookings.fleet.target(site).up {
@@ -42,82 +44,87 @@
     }
 }
 
-/// Sends a poisonous request to one node after another, among innocent ones.
-fn storm(bookings: &mut Bookings) {
+/// Sends the poison request to one node after another, among harmless requests.
+fn send_poison_to_all(bookings: &mut Bookings) {
     let sites: Vec<Site> = bookings.fleet.sites().collect();
     for (round, &site) in sites.iter().cycle().take(3 * sites.len()).enumerate() {
         for (other, &entry) in sites.iter().enumerate() {
             for copy in 0..4 {
                 let fingerprint = 1 + (other as u64 + 9 * copy + round as u64) % 59;
-                bookings.fleet.send(entry, look("/look/slots", fingerprint));
+                bookings.fleet.send(entry, get("/look/slots", fingerprint));
             }
         }
         bookings.fleet.run_for(Millis(5));
-        bookings.fleet.send(site, look("/look/poison", POISON));
-        pass(bookings, Millis(200));
+        bookings.fleet.send(site, get("/look/poison", POISON_FINGERPRINT));
+        run_and_restart(bookings, Millis(200));
     }
-    pass(bookings, Millis::from_secs(2));
+    run_and_restart(bookings, Millis::from_secs(2));
 }
 
 #[test]
-fn a_request_sent_again_and_again_crashes_two_targets_at_most() {
+fn a_poison_request_crashes_at_most_two_targets() {
     let mut text = String::new();
-    for seed in seeds(FEW) {
-        let mut bookings = poisoned(seed);
-        storm(&mut bookings);
+    for seed in seeds(DEFAULT_SEEDS) {
+        let mut bookings = fleet_with_poison(seed);
+        send_poison_to_all(&mut bookings);
         let crashes = crashes(&mut bookings);
         assert!(crashes <= 2, "seed {seed}: {crashes} crashes");
-        if seed < FEW {
-            writeln!(text, "seed {seed}: {crashes} crashes").expect("a string takes all text");
+        if seed < DEFAULT_SEEDS {
+            writeln!(text, "seed {seed}: {crashes} crashes")
+                .expect("writing to a string does not fail");
         }
     }
     assert_snapshot!(text);
 }
 
 #[test]
-fn innocents_in_flight_at_the_crashes_are_served_afterwards() {
-    for seed in seeds(FEW) {
-        let mut bookings = poisoned(seed);
-        storm(&mut bookings);
+fn harmless_requests_in_flight_at_the_crashes_are_served_afterwards() {
+    for seed in seeds(DEFAULT_SEEDS) {
+        let mut bookings = fleet_with_poison(seed);
+        send_poison_to_all(&mut bookings);
         let sites: Vec<Site> = bookings.fleet.sites().collect();
         for fingerprint in 1..60 {
             let site = sites[fingerprint as usize % sites.len()];
-            let root = bookings.fleet.send(site, look("/look/slots", fingerprint));
+            let root = bookings.fleet.send(site, get("/look/slots", fingerprint));
             bookings.fleet.run_for(Millis(500));
-            let answer = bookings.fleet.answer_to(root);
-            let whole = answer.is_some_and(|received| received.is_whole());
-            assert!(whole, "seed {seed}, request {fingerprint}: {answer:?}");
+            let response = bookings.fleet.answer_to(root);
+            let is_complete = response.is_some_and(|received| received.is_whole());
+            assert!(is_complete, "seed {seed}, request {fingerprint}: {response:?}");
         }
     }
 }
 
 #[test]
-fn a_quarantined_request_is_refused_everywhere_though_the_node_that_tried_it_is_gone() {
-    let mut bookings = poisoned(1);
-    storm(&mut bookings);
-    let poisonous = |ran: &&mustardpin_virtual::Ran| ran.fingerprint == Fingerprint(POISON);
-    let last = bookings.fleet.ran.iter().rfind(poisonous).expect("it crashed a target").node;
+fn a_quarantined_request_is_refused_everywhere_after_the_node_that_ran_it_was_killed() {
+    let mut bookings = fleet_with_poison(1);
+    send_poison_to_all(&mut bookings);
+    let is_poison =
+        |ran: &&mustardpin_virtual::Ran| ran.fingerprint == Fingerprint(POISON_FINGERPRINT);
+    let last =
+        bookings.fleet.ran.iter().rfind(is_poison).expect("a target ran the poison request").node;
     let mut sites: Vec<Site> = bookings.fleet.sites().collect();
     let last = sites
         .iter()
         .position(|&site| bookings.fleet.world_at(site).identity().node() == last)
-        .expect("the node is at a site");
-    let tried_at = sites.remove(last);
-    bookings.fleet.kill(tried_at);
+        .expect("a site runs the node");
+    let last_site = sites.remove(last);
+    bookings.fleet.kill(last_site);
     bookings.fleet.run_for(Millis::from_secs(2));
     let ran = bookings.fleet.ran.len();
-    let roots: Vec<u64> =
-        sites.iter().map(|&site| bookings.fleet.send(site, look("/look/poison", POISON))).collect();
+    let roots: Vec<u64> = sites
+        .iter()
+        .map(|&site| bookings.fleet.send(site, get("/look/poison", POISON_FINGERPRINT)))
+        .collect();
     bookings.fleet.run_for(Millis(500));
     assert_eq!(bookings.fleet.ran.len(), ran);
-    let answers: Vec<String> = roots.iter().map(|&root| bookings.answer(root)).collect();
-    assert_snapshot!(answers.join("\n"));
+    let responses: Vec<String> = roots.iter().map(|&root| bookings.response(root)).collect();
+    assert_snapshot!(responses.join("\n"));
 }
 
-/// The caller of a booking that crashes its target sends it again and again: it never runs twice
-/// for one sending, and crashes two targets at most.
+/// A caller resends a booking that crashes its target: it runs at most once for each sending, and
+/// crashes two targets.
 #[test]
-fn a_booking_that_crashes_targets_is_refused_after_two() {
+fn a_booking_that_crashes_targets_is_refused_after_two_crashes() {
     let mut bookings = Bookings::new(2, 2);
     let request = Request::post("/book", SECRET, "key-0");
     for site in bookings.ledgers.clone() {
@@ -126,12 +133,12 @@
     let roots: Vec<u64> = (0..6)
         .map(|round| {
             let root = bookings.book(bookings.fronts[round % 3], "key-0");
-            pass(&mut bookings, Millis(500));
+            run_and_restart(&mut bookings, Millis(500));
             root
         })
         .collect();
-    assert_eq!(bookings.breaches(), Vec::<String>::new());
+    assert_eq!(bookings.violations(), Vec::<String>::new());
     assert_eq!(crashes(&mut bookings), 2);
-    let answers: Vec<String> = roots.iter().map(|&root| bookings.answer(root)).collect();
-    assert_snapshot!(answers.join("\n"));
+    let responses: Vec<String> = roots.iter().map(|&root| bookings.response(root)).collect();
+    assert_snapshot!(responses.join("\n"));
 }
--- a/crates/mustardpin-virtual/tests/testsuite/rating.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/rate_limit.rs
@@ -17,28 +17,30 @@
 const RATE: u32 = 200;
 const BURST: u32 = 400;
 
-/// A burst that leaves no room for an error in sharing.
+/// A burst so small that any error in the sharing of tokens exceeds it.
 const SMALL_BURST: u32 = 40;
 
-/// The most requests beyond the rate in any interval. The bound is the burst.
-fn worst_excess(fleet: &Fleet, rate: u32) -> f64 {
+/// The maximum number of requests in any interval beyond what the rate allows. The bound is the
+/// burst.
+fn max_excess(fleet: &Fleet, rate: u32) -> f64 {
     let mut level: f64 = 0.0;
-    let mut worst: f64 = 0.0;
+    let mut max_level: f64 = 0.0;
     let mut last = Millis::ZERO;
     for ran in &fleet.ran {
         level = (level - (ran.at - last).0 as f64 * f64::from(rate) / 1_000.0).max(0.0) + 1.0;
         last = ran.at;
-        worst = worst.max(level);
+        max_level = max_level.max(level);
     }
-    worst
+    max_level
 }
 
-fn refused(fleet: &Fleet) -> usize {
-    let of_rate = |verdict: &Option<Verdict>| {
+/// How many requests were refused by rate limiting.
+fn refused_by_rate_limit(fleet: &Fleet) -> usize {
+    let is_rate_limited = |verdict: &Option<Verdict>| {
         matches!(verdict, Some(Verdict::Refuse(refusal))
             if matches!(refusal.reason, Reason::RateExceeded | Reason::RateUnavailable))
     };
-    fleet.received.iter().filter(|received| of_rate(&received.verdict)).count()
+    fleet.received.iter().filter(|received| is_rate_limited(&received.verdict)).count()
 }
 
 fn small_fleet(seed: u64, burst: u32, policy: RateLimitPolicy, max_shards: u8) -> Fleet {
@@ -51,7 +53,8 @@
     fleet
 }
 
-/// Sends requests of the team at a rate, each to a site that `choose` names, for a length of time.
+/// Sends requests of the team at a mean rate, in requests a second, for a length of time, each to
+/// the site that `choose` returns.
 fn load(
     fleet: &mut Fleet,
     rng: &mut Pcg64Mcg,
@@ -72,14 +75,14 @@
     fleet.run_for(Millis::from_secs(1));
 }
 
-/// The entry nodes that requests go to.
+/// How requests are distributed over entry nodes.
 #[derive(Debug, Clone, Copy)]
 enum Entry {
-    /// All alike.
+    /// All nodes get the same share.
     Even,
-    /// Nine in ten to one node.
+    /// One node gets nine in ten requests.
     Skewed,
-    /// One node at a time, another every second.
+    /// One node gets all requests, a different one every second.
     Moving,
 }
 
@@ -94,14 +97,14 @@
 }
 
 #[test]
-fn ways_of_sharing_compared() {
+fn rate_limit_policies_compared() {
     let mut table = String::from("sharing, entry, refused of a team at 80% of its rate\n");
-    let ways = [
+    let policies = [
         ("even", RateLimitPolicy::Even, 8),
         ("one keeper", RateLimitPolicy::Sharded, 1),
         ("eight keepers", RateLimitPolicy::Sharded, 8),
     ];
-    for (name, policy, max_shards) in ways {
+    for (name, policy, max_shards) in policies {
         for entry in [Entry::Even, Entry::Skewed, Entry::Moving] {
             let mut fleet = small_fleet(1, BURST, policy, max_shards);
             let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -109,7 +112,7 @@
             load(&mut fleet, &mut rng, rate, Millis::from_secs(20), |rng, elapsed| {
                 entry.choose(rng, elapsed)
             });
-            let share = refused(&fleet) as f64 / fleet.received.len() as f64;
+            let share = refused_by_rate_limit(&fleet) as f64 / fleet.received.len() as f64;
             table.push_str(&format!("{name}, {entry:?}, {:.2}%\n", share * 100.0));
             if name == "eight keepers" {
                 assert!(share < 0.001, "{entry:?}: {share}");
@@ -127,35 +130,38 @@
         let rate = f64::from(RATE) * 10.0;
         let length = Millis::from_secs(10);
         load(&mut fleet, &mut rng, rate, length, |rng, elapsed| Entry::Even.choose(rng, elapsed));
-        let worst = worst_excess(&fleet, RATE);
-        assert!(worst <= f64::from(BURST), "seed {seed}: {worst} beyond the rate");
-        let least = f64::from(RATE) * length.0 as f64 / 1_000.0 * 0.95;
-        assert!(fleet.ran.len() as f64 >= least, "seed {seed}: only {} ran", fleet.ran.len());
+        let excess = max_excess(&fleet, RATE);
+        assert!(excess <= f64::from(BURST), "seed {seed}: {excess} beyond the rate");
+        let min_runs = f64::from(RATE) * length.0 as f64 / 1_000.0 * 0.95;
+        assert!(fleet.ran.len() as f64 >= min_runs, "seed {seed}: only {} ran", fleet.ran.len());
     }
 }
 
-/// What happens to a fleet while a team floods it.
+/// A failure of the fleet while a team floods it.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
-    /// Two nodes die and come back.
-    Deaths,
-    /// A node is frozen until it has been left out of the epoch, and then resumed.
+    /// Two nodes are killed and restarted.
+    Kills,
+    /// A node is frozen for 12 s, so that its data is stale when it is resumed.
     Freeze,
-    /// A data centre is cut off from all and joins again.
+    /// A data centre is cut off from the others and the platform, and reconnected.
     Cut,
-    /// A data centre is cut off from all and goes on with the last known keys and shares, until
-    /// its grace is over.
+    /// A data centre is cut off from the others and the platform, and serves with the last known
+    /// keys and shard owners until its grace is over.
     CutAndServed,
-    /// A data centre is cut off from the platform, and two others from each other.
+    /// A data centre is cut off from the platform, and the two others from each other.
     PlatformCut,
-    /// Nodes stop and start one after another.
+    /// Nodes are stopped gracefully and restarted one after another.
     Churn,
 }
 
-const FLOOD: f64 = 8.0;
+/// The flood, as a multiple of the team's rate.
+const FLOOD_FACTOR: f64 = 8.0;
 
 fn flood_for(fleet: &mut Fleet, rng: &mut Pcg64Mcg, length: Millis) {
-    load(fleet, rng, f64::from(RATE) * FLOOD, length, |rng, _| Site(rng.random_range(0..12)));
+    load(fleet, rng, f64::from(RATE) * FLOOD_FACTOR, length, |rng, _| {
+        Site(rng.random_range(0..12))
+    });
 }
 
 fn cut_west(fleet: &mut Fleet) {
@@ -164,11 +170,12 @@
     fleet.network.cut_platform("west");
 }
 
-fn strike(fleet: &mut Fleet, rng: &mut Pcg64Mcg, failure: Failure) {
+/// Floods the fleet before, during and after a failure.
+fn flood_through_failure(fleet: &mut Fleet, rng: &mut Pcg64Mcg, failure: Failure) {
     let gone = [Site(rng.random_range(0..6)), Site(rng.random_range(6..12))];
     flood_for(fleet, rng, Millis(2_000));
     match failure {
-        Failure::Deaths => {
+        Failure::Kills => {
             gone.iter().for_each(|&site| fleet.kill(site));
             flood_for(fleet, rng, Millis(12_000));
             gone.iter().for_each(|&site| fleet.restart(site));
@@ -212,23 +219,24 @@
 
 #[test]
 fn rate_and_burst_hold_through_failures() {
-    use Failure::{Churn, Cut, CutAndServed, Deaths, Freeze, PlatformCut};
+    use Failure::{Churn, Cut, CutAndServed, Freeze, Kills, PlatformCut};
 
-    for failure in [Deaths, Freeze, Cut, CutAndServed, PlatformCut, Churn] {
+    for failure in [Kills, Freeze, Cut, CutAndServed, PlatformCut, Churn] {
         for seed in seeds(3) {
             let mut fleet = small_fleet(seed, SMALL_BURST, RateLimitPolicy::Sharded, 8);
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
-            strike(&mut fleet, &mut rng, failure);
-            let worst = worst_excess(&fleet, RATE);
+            flood_through_failure(&mut fleet, &mut rng, failure);
+            let excess = max_excess(&fleet, RATE);
             let burst = f64::from(SMALL_BURST);
-            assert!(worst <= burst, "{failure:?}, seed {seed}: {worst} beyond the rate");
+            assert!(excess <= burst, "{failure:?}, seed {seed}: {excess} beyond the rate");
         }
     }
 }
 
-/// A team at half its rate loses no request to its limit when a node leaves or dies.
+/// A team at half its rate has no request refused by rate limiting when a node, and with it an
+/// owner of shards, is stopped or killed.
 #[test]
-fn a_team_within_its_rate_is_not_refused_when_keepers_change() {
+fn a_team_within_its_rate_is_not_refused_when_shard_owners_change() {
     let mut table = String::from("seed, change, refused of a team at half its rate\n");
     for seed in seeds(3) {
         for kill in [false, true] {
@@ -244,7 +252,7 @@
                 fleet.stop(Site(gone));
             }
             load(&mut fleet, &mut rng, rate, Millis(15_000), entry);
-            let share = refused(&fleet) as f64 / fleet.received.len() as f64;
+            let share = refused_by_rate_limit(&fleet) as f64 / fleet.received.len() as f64;
             let change = if kill { "killed" } else { "stopped" };
             table.push_str(&format!("{seed}, {change}, {:.2}%\n", share * 100.0));
             assert!(share < 0.001, "seed {seed}, {change}: {share}");
@@ -253,7 +261,7 @@
     insta::assert_snapshot!(table);
 }
 
-/// Tokens that nodes have drawn ahead and hold count towards the burst.
+/// Tokens that nodes have leased ahead and not yet used count towards the burst.
 #[test]
 fn bursts_after_short_pauses_stay_within_the_burst() {
     for seed in seeds(3) {
@@ -269,7 +277,7 @@
             }
         }
         fleet.run_for(Millis::from_secs(1));
-        let worst = worst_excess(&fleet, RATE);
-        assert!(worst <= f64::from(SMALL_BURST), "seed {seed}: {worst} beyond the rate");
+        let excess = max_excess(&fleet, RATE);
+        assert!(excess <= f64::from(SMALL_BURST), "seed {seed}: {excess} beyond the rate");
     }
 }
--- a/crates/mustardpin-virtual/tests/testsuite/retry.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/retry.rs
@@ -1,4 +1,5 @@
-//! Retries stay bounded from end to end, however deep and wide the chain.
+//! The retries of a root request stay bounded over a whole chain of services, however deep and
+//! wide.
 
 use mustardpin_virtual::{Fleet, Request, Service, Site};
 use mustardpin_world::{
@@ -10,18 +11,19 @@
 use crate::support;
 
 const DEPTH: usize = 17;
-/// At these depths a service makes two different calls to the next one.
-const WIDE: [usize; 2] = [4, 9];
-/// First attempts at the deepest service for each root request: two at each wide depth.
+/// Depths at which a service makes two different calls to the next service.
+const FAN_OUT_DEPTHS: [usize; 2] = [4, 9];
+/// First attempts at the deepest service for each root request: each depth with two calls doubles
+/// them.
 const FIRST_ATTEMPTS: usize = 4;
-/// How often each target, and each caller, sends a failed request again.
+/// How often each target and each caller resends a failed request.
 const RESENDS: u32 = 5;
 
 fn allowance() -> usize {
     Defaults::default().retry_allowance as usize
 }
 
-/// A budget from successes so large that only the allowance is left to bound anything.
+/// A retry budget from successes so large that only the allowance bounds retries.
 fn options(policy: RetryPolicy) -> Options {
     let retry = Retry {
         policy,
@@ -43,7 +45,7 @@
         if depth + 1 < DEPTH {
             let next = format!("/level-{:02}", depth + 1);
             service.calls.push(format!("{next}/one"));
-            if WIDE.contains(&depth) {
+            if FAN_OUT_DEPTHS.contains(&depth) {
                 service.calls.push(format!("{next}/two"));
             }
         }
@@ -55,9 +57,9 @@
     fleet
 }
 
-/// Sends requests that succeed and earn repeats, then lets the deepest service fail. Returns the
-/// largest number of attempts there for one root request.
-fn most_attempts(seed: u64, policy: RetryPolicy) -> usize {
+/// Sends requests that succeed and so fill the retry budget, then lets the deepest service fail.
+/// Returns the maximum number of attempts there for one root request.
+fn max_attempts(seed: u64, policy: RetryPolicy) -> usize {
     const SERVED: u64 = 50;
     const FAILED: u64 = 20;
 
@@ -77,8 +79,11 @@
         send(&mut fleet, number);
     }
     fleet.run_for(Millis::from_secs(1));
-    let whole = fleet.received.iter().filter(|received| received.is_whole()).count();
-    assert_eq!(whole as u64, SERVED, "seed {seed}: the chain works before it fails");
+    let complete = fleet.received.iter().filter(|received| received.is_whole()).count();
+    assert_eq!(
+        complete as u64, SERVED,
+        "seed {seed}: a request failed before the deepest service did"
+    );
     fleet.target(Site(DEPTH - 1)).failing = Some(500);
     let roots: Vec<u64> = (0..FAILED).map(|number| send(&mut fleet, SERVED + number)).collect();
     fleet.run_for(Millis::from_secs(20));
@@ -89,9 +94,10 @@
     roots.into_iter().map(attempts).max().unwrap_or(0)
 }
 
-/// Each repeat in the chain costs one of the allowance and causes at most as many first attempts
-/// below it as the root request; a caller's resend has no allowance of its own, and there are at
-/// most as many as the allowance.
+/// The maximum number of attempts at the deepest service. Each retry in the chain takes one from
+/// the allowance and causes at most as many first attempts below it as the root request does. A
+/// client retry gets no allowance of its own, and there are at most as many client retries as the
+/// allowance.
 fn bound() -> usize {
     FIRST_ATTEMPTS * (1 + allowance() + allowance())
 }
@@ -99,14 +105,14 @@
 #[test]
 fn attempts_at_the_deepest_service_stay_bounded_when_every_level_fails() {
     for seed in support::seeds(3) {
-        let attempts = most_attempts(seed, RetryPolicy::Chain);
+        let attempts = max_attempts(seed, RetryPolicy::Chain);
         assert!(attempts >= FIRST_ATTEMPTS, "seed {seed}: {attempts} attempts");
         assert!(attempts <= bound(), "seed {seed}: {attempts} attempts, bound {}", bound());
     }
 }
 
 #[test]
-fn a_nested_call_is_repeated_once_for_each_retry_of_the_allowance() {
+fn a_nested_call_is_retried_as_often_as_the_allowance_permits() {
     let mut fleet = Fleet::new(1, options(RetryPolicy::Chain));
     let mut front = Service::leaf("front", 8, 2.0);
     front.calls = vec!["/back".to_owned()];
@@ -128,11 +134,11 @@
     let root = fleet.send(front, request);
     fleet.run_for(Millis::from_secs(2));
     let attempts = fleet.ran.iter().filter(|ran| ran.root == root && ran.path == "/back").count();
-    assert_eq!(attempts, 1 + allowance(), "unspent retries come back with each answer");
+    assert_eq!(attempts, 1 + allowance(), "a response returns the retries that were not used");
 }
 
 #[test]
-fn local_budgets_alone_do_not_bound_the_chain() {
-    let attempts = most_attempts(1, RetryPolicy::Ratio);
+fn local_retry_budgets_alone_do_not_bound_the_chain() {
+    let attempts = max_attempts(1, RetryPolicy::Ratio);
     assert!(attempts > bound(), "{attempts} attempts");
 }
--- a/crates/mustardpin-virtual/tests/testsuite/roster.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/roster.rs
@@ -1,4 +1,4 @@
-//! Who keeps parts of teams' rates: agreed, spread, and never two at once.
+//! Nodes agree on the roster, and a shard of a team's rate never has two owners at once.
 
 use std::{collections::BTreeMap, fmt::Write as _};
 
@@ -16,11 +16,11 @@
     scenario::{Scenario, for_seeds, seeds},
 };
 
-/// Seeds of the test of removal, which only some schedules can fail.
+/// The minimum number of seeds of the test of removal, as its fault appears with some seeds only.
 const REMOVAL_SEEDS: u64 = 64;
 
-/// For how long after its last news a node gives out tokens by the roster that it knows.
-fn longest_use(world: &World, team: TeamKey) -> Millis {
+/// How long after its last update from the store a node grants leases by the roster that it has.
+fn max_roster_age(world: &World, team: TeamKey) -> Millis {
     let window = world.options().freshness.window;
     match world.tables().cut_off_policy(team) {
         CutOffPolicy::Refuse => window,
@@ -28,39 +28,40 @@
     }
 }
 
-/// The parts of teams' rates that a node would give out at present.
-fn kept(world: &World, now: Millis) -> Vec<(String, Shard)> {
+/// The shards of teams' rates from which a node would grant leases at present.
+fn usable_shards(world: &World, now: Millis) -> Vec<(String, Shard)> {
     let tables = world.tables();
     let age = tables.freshness.fleet_age(now);
     let buckets = tables.rate_limits.buckets();
-    let usable =
-        buckets.filter(|bucket| bucket.usable_from <= now && age < longest_use(world, bucket.team));
+    let usable = buckets
+        .filter(|bucket| bucket.usable_from <= now && age < max_roster_age(world, bucket.team));
     let named = usable
         .filter_map(|bucket| Some((tables.teams.get(bucket.team)?.name.to_string(), bucket.shard)));
     named.collect()
 }
 
-/// The nodes that would give out tokens of one part, where there is more than one.
-fn doubles(scenario: &mut Scenario, faults: &Faults) -> Vec<((String, Shard), Vec<Site>)> {
+/// The shards from which more than one node would grant leases, with these nodes.
+fn duplicate_owners(scenario: &mut Scenario, faults: &Faults) -> Vec<((String, Shard), Vec<Site>)> {
     let sites: Vec<Site> = scenario.fleet.sites().filter(|&site| !faults.is_frozen(site)).collect();
     for &site in &sites {
-        // Any event makes the node look at the time.
+        // Any event runs a tick, in which the node reads the time.
         scenario.fleet.inject(site, Event::LinkSilent { peer: NodeId(0), silent: false });
     }
     scenario.fleet.run_for(Millis(0));
     let now = scenario.fleet.now;
-    let mut keepers: BTreeMap<(String, Shard), Vec<Site>> = BTreeMap::new();
+    let mut owners: BTreeMap<(String, Shard), Vec<Site>> = BTreeMap::new();
     for &site in &sites {
-        for part in kept(scenario.fleet.world_at(site), now) {
-            keepers.entry(part).or_default().push(site);
+        for shard in usable_shards(scenario.fleet.world_at(site), now) {
+            owners.entry(shard).or_default().push(site);
         }
     }
-    keepers.into_iter().filter(|(_, keepers)| keepers.len() > 1).collect()
+    owners.into_iter().filter(|(_, owners)| owners.len() > 1).collect()
 }
 
-/// Nodes freeze, die, start and are cut off; no part of a rate ever has two keepers.
+/// Nodes are frozen, restarted and cut off at random, and the platform fails. No shard may ever
+/// have two owners that grant leases.
 #[test]
-fn nothing_has_two_keepers_whatever_fails() {
+fn no_shard_has_two_owners_whatever_fails() {
     for policy in [CutOffPolicy::Refuse, CutOffPolicy::Serve(Millis::from_secs(6))] {
         for_seeds(|seed| {
             let mut scenario = Scenario::start(seed, policy);
@@ -68,13 +69,17 @@
             for _ in 0..1_200 {
                 faults.step(&mut scenario);
                 scenario.fleet.run_for(Millis(100));
-                let doubles = doubles(&mut scenario, &faults);
+                let duplicates = duplicate_owners(&mut scenario, &faults);
                 let now = scenario.fleet.now;
-                assert!(doubles.is_empty(), "{policy:?}, seed {seed}, {now}: {doubles:?}");
+                assert!(duplicates.is_empty(), "{policy:?}, seed {seed}, {now}: {duplicates:?}");
             }
             faults.end(&mut scenario);
             scenario.fleet.run_for(Millis::from_secs(30));
-            assert_eq!(members(&scenario), [9; 9], "seed {seed}: all come together again");
+            assert_eq!(
+                members(&scenario),
+                [9; 9],
+                "seed {seed}: not all nodes are back in the roster"
+            );
         });
     }
 }
@@ -84,7 +89,7 @@
     worlds.map(|world| world.tables().roster.len()).collect()
 }
 
-/// Rosters that nodes learned of since a point, and how many members they have.
+/// The rosters that nodes have logged since a time: the store version and the number of members.
 fn rosters(scenario: &Scenario, since: Millis) -> BTreeMap<String, String> {
     let log = scenario.fleet.log.iter();
     let log = log.filter(|(at, _, entry)| *at >= since && entry.event == "roster");
@@ -96,9 +101,11 @@
     .collect()
 }
 
-/// What becomes of the roster under failures that last.
+/// How the roster changes under failures that last. A node removes the row of a peer only while it
+/// reaches at least half of its peers and its data from the platform is fresh; a removed node that
+/// reaches the platform writes its row again.
 #[test]
-fn members_are_removed_only_by_those_who_can_tell() {
+fn only_nodes_that_reach_half_of_their_peers_and_the_platform_remove_members() {
     type Failure = fn(&mut Scenario);
     let failures: [(&str, Failure); 6] = [
         ("one node cut off from all nodes but not from the platform", |scenario| {
@@ -152,8 +159,8 @@
     insta::assert_snapshot!(report);
 }
 
-/// A data centre that reaches the platform is not taken for gone again and again, however long it
-/// is cut off from the others.
+/// A data centre that is cut off from the others but reaches the platform must not be removed and
+/// added again and again, however long the cut lasts.
 #[test]
 fn a_data_centre_that_reaches_the_platform_stays_in_the_roster() {
     for seed in 0..REMOVAL_SEEDS.max(seeds().end) {
@@ -170,9 +177,9 @@
     }
 }
 
-/// Processes that start again in their places leave the roster as it is.
+/// A restarted process has the name of the one before it, so the roster doesn't change.
 #[test]
-fn nodes_that_start_again_keep_their_places() {
+fn restarted_nodes_stay_in_the_roster() {
     for_seeds(|seed| {
         let mut scenario = Scenario::start(seed, CutOffPolicy::Refuse);
         let start = scenario.fleet.now;
--- a/crates/mustardpin-virtual/tests/testsuite/routing.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/routing.rs
@@ -1,4 +1,5 @@
-//! Places for calls: near ones first, others before refusing, none that fails.
+//! How a node chooses the node that runs a request: its own data centre first, other data centres
+//! before a refusal, and no ejected node.
 
 use mustardpin_virtual::{Fleet, Request, Service, Site};
 use mustardpin_world::{Millis, Options, config::Row, table::counter::Retry};
@@ -7,7 +8,8 @@
 
 const KEY: &str = "garage-1.secret";
 
-/// An entry node in the south, and so many nodes of the service there and, after them, in the north.
+/// An entry node in the south, then `nodes` nodes of the service in the south, then as many in the
+/// north.
 fn fleet(seed: u64, service: &Service, nodes: usize) -> Fleet {
     let mut fleet = Fleet::new(seed, Options::default());
     fleet.add("south", Service::leaf("entry", 8, 1.0));
@@ -27,7 +29,7 @@
     fleet
 }
 
-/// Sends so many requests a second for a while. Returns their numbers.
+/// Sends `rate` requests a second for a time. Returns their root requests.
 fn send(fleet: &mut Fleet, rate: u64, length: Millis) -> Vec<u64> {
     let mut roots = Vec::new();
     for now in 0..length.0 {
@@ -42,8 +44,9 @@
 }
 
 fn refused(fleet: &Fleet, roots: &[u64]) -> usize {
-    let is_whole = |root: &u64| fleet.answer_to(*root).is_some_and(|answer| answer.is_whole());
-    roots.iter().filter(|root| !is_whole(root)).count()
+    let is_complete =
+        |root: &u64| fleet.answer_to(*root).is_some_and(|response| response.is_whole());
+    roots.iter().filter(|root| !is_complete(root)).count()
 }
 
 fn runs_in(fleet: &Fleet, sites: std::ops::Range<usize>, from: Millis) -> usize {
@@ -52,7 +55,7 @@
 }
 
 #[test]
-fn requests_stay_in_the_own_data_centre_while_it_has_room() {
+fn requests_stay_in_the_local_data_centre_while_it_has_capacity() {
     for seed in support::seeds(3) {
         // Two local targets run 400 requests a second.
         let mut fleet = fleet(seed, &Service::leaf("search", 10, 50.0), 2);
@@ -61,8 +64,12 @@
         let roots = send(&mut fleet, 200, Millis::from_secs(5));
         fleet.run_for(Millis::from_secs(1));
         assert_eq!(refused(&fleet, &roots), 0, "seed {seed}");
-        let away = runs_in(&fleet, 3..5, from);
-        assert!(away * 20 <= roots.len(), "seed {seed}: {away} of {} ran away", roots.len());
+        let remote = runs_in(&fleet, 3..5, from);
+        assert!(
+            remote * 20 <= roots.len(),
+            "seed {seed}: {remote} of {} ran in the north",
+            roots.len()
+        );
     }
 }
 
@@ -80,14 +87,14 @@
 }
 
 #[test]
-fn a_node_that_fails_is_left_alone_and_its_successor_is_found() {
+fn a_killed_node_is_ejected_and_used_again_after_its_restart() {
     for seed in support::seeds(3) {
         let mut fleet = fleet(seed, &Service::leaf("search", 10, 20.0), 2);
         send(&mut fleet, 100, Millis::from_secs(3));
         fleet.kill(Site(1));
         let roots = send(&mut fleet, 100, Millis::from_secs(10));
         fleet.run_for(Millis::from_secs(1));
-        assert_eq!(refused(&fleet, &roots), 0, "seed {seed}: nothing was lost");
+        assert_eq!(refused(&fleet, &roots), 0, "seed {seed}: requests were lost");
         let not_sent = fleet
             .world_at(Site(0))
             .tables()
@@ -98,13 +105,13 @@
         send(&mut fleet, 100, Millis::from_secs(12));
         let from = fleet.now;
         send(&mut fleet, 100, Millis::from_secs(3));
-        let back = runs_in(&fleet, 1..2, from);
-        assert!(back >= 60, "seed {seed}: {back} of 300 ran on the node that came back");
+        let returned = runs_in(&fleet, 1..2, from);
+        assert!(returned >= 60, "seed {seed}: {returned} of 300 ran on the restarted node");
     }
 }
 
 #[test]
-fn an_ejected_node_is_probed_and_comes_back() {
+fn an_ejected_node_is_probed_and_gets_requests_again() {
     for seed in support::seeds(3) {
         let mut fleet = Fleet::new(seed, Options::default());
         fleet.add("south", Service::leaf("entry", 8, 1.0));
@@ -117,21 +124,25 @@
         support::put(&mut fleet, rows);
         fleet.run_for(Millis::from_secs(3));
         fleet.network.cut("north", "south");
-        let lost = send(&mut fleet, 100, Millis(1_500));
-        assert_eq!(refused(&fleet, &lost), lost.len(), "seed {seed}: nothing passes the cut");
+        let during_cut = send(&mut fleet, 100, Millis(1_500));
+        assert_eq!(
+            refused(&fleet, &during_cut),
+            during_cut.len(),
+            "seed {seed}: a request passed the cut"
+        );
         let not_sent = fleet.world_at(Site(0)).tables().counters.retries(Retry::NotSent);
         assert!(not_sent <= 8, "seed {seed}: {not_sent} requests were sent into the cut");
         fleet.network.heal();
-        // The longest ejection after so short a cut, and time for gossip.
+        // The maximum ejection after so short a cut, and the time that gossip takes.
         send(&mut fleet, 100, Millis::from_secs(4));
-        let back = send(&mut fleet, 100, Millis::from_secs(1));
+        let after_heal = send(&mut fleet, 100, Millis::from_secs(1));
         fleet.run_for(Millis::from_secs(1));
-        assert_eq!(refused(&fleet, &back), 0, "seed {seed}");
+        assert_eq!(refused(&fleet, &after_heal), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn work_without_a_caller_is_cancelled_down_the_chain() {
+fn nested_calls_are_cancelled_when_the_caller_disconnects() {
     let mut fleet = Fleet::new(1, Options::default());
     let mut front = Service::leaf("front", 8, 1.0);
     front.calls = vec!["/back".to_owned()];
--- a/crates/mustardpin-virtual/tests/testsuite/scenario.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/scenario.rs
@@ -1,4 +1,4 @@
-//! A small fleet under steady load, for the tests of what nodes agree on.
+//! A small fleet under steady load, for tests of the configuration, the roster and draining.
 
 use std::collections::BTreeMap;
 
@@ -12,30 +12,30 @@
     store::{RowKey, Value},
 };
 
-/// The key that operators withdraw.
-pub const WITHDRAWN: &str = "garage-1";
-/// The key that stays.
-pub const KEPT: &str = "sitter-1";
+/// The id of the key that operators withdraw.
+pub const WITHDRAWN_KEY: &str = "garage-1";
+/// The id of the key that stays valid.
+pub const VALID_KEY: &str = "sitter-1";
 /// The data centres, three nodes in each.
 pub const DATA_CENTRES: [&str; 3] = ["north", "south", "west"];
 /// The time between two requests to one node.
-const LOAD_PERIOD: Millis = Millis(50);
+const REQUEST_INTERVAL: Millis = Millis(50);
 
 /// A fleet under load.
 pub struct Scenario {
     pub fleet: Fleet,
-    /// The keys that callers use in turn; the last of each three requests comes without one.
+    /// The ids of the keys that callers use in turn. Every third request has no key.
     pub keys: [String; 2],
     sent: u64,
 }
 
-/// The seeds of a test: a few, or as many as the environment asks for.
+/// The seeds of a test: three, or as many as `MUSTARDPIN_SEEDS` says.
 pub fn seeds() -> std::ops::Range<u64> {
     let count = std::env::var("MUSTARDPIN_SEEDS").ok().and_then(|count| count.parse().ok());
     0..count.unwrap_or(3)
 }
 
-/// Runs a check for each seed. The one that fails is the last one printed.
+/// Runs a check for each seed. If it fails, the last seed printed is the one that failed.
 pub fn for_seeds(mut check: impl FnMut(u64)) {
     for seed in seeds() {
         println!("seed {seed}");
@@ -59,17 +59,17 @@
 }
 
 pub fn withdrawal() -> Row {
-    key(WITHDRAWN, "garage", true)
+    key(WITHDRAWN_KEY, "garage", true)
 }
 
 impl Scenario {
-    /// A fleet that has agreed on its configuration and its roster.
+    /// A fleet whose nodes all have the same configuration and roster.
     pub fn start(seed: u64, cut_off: CutOffPolicy) -> Scenario {
         Scenario::start_with(seed, cut_off, Vec::new())
     }
 
-    /// The same with more rows in the configuration.
-    pub fn start_with(seed: u64, cut_off: CutOffPolicy, more: Vec<Row>) -> Scenario {
+    /// Like [`Scenario::start`], with more rows in the configuration.
+    pub fn start_with(seed: u64, cut_off: CutOffPolicy, extra_rows: Vec<Row>) -> Scenario {
         let mut fleet = Fleet::new(seed, Options::default());
         for data_centre in DATA_CENTRES {
             for _ in 0..3 {
@@ -80,31 +80,32 @@
             Row::Fleet(config::Fleet { cut_off, ..config::Fleet::default() }),
             team("garage"),
             team("sitter"),
-            key(WITHDRAWN, "garage", false),
-            key(KEPT, "sitter", false),
+            key(WITHDRAWN_KEY, "garage", false),
+            key(VALID_KEY, "sitter", false),
             route("search", false),
             route("public", true),
         ];
-        fleet.platform.put_configuration(rows.into_iter().chain(more).collect());
+        fleet.platform.put_configuration(rows.into_iter().chain(extra_rows).collect());
         fleet.platform.put(vec![(RowKey::Head, Value::Head(Vec::new()))]);
-        let mut scenario = Scenario { fleet, keys: [WITHDRAWN, KEPT].map(str::to_owned), sent: 0 };
+        let mut scenario =
+            Scenario { fleet, keys: [WITHDRAWN_KEY, VALID_KEY].map(str::to_owned), sent: 0 };
         scenario.fleet.run_for(Millis::from_secs(8));
         scenario
     }
 
-    /// Lets time pass under load: every node gets requests with both keys and without one.
+    /// Runs the fleet under load: every node gets requests with both keys and without a key.
     pub fn load_for(&mut self, length: Millis) {
-        self.load_without(None, length);
+        self.load_excluding(None, length);
     }
 
-    /// The same, but without requests to one of the nodes.
-    pub fn load_without(&mut self, left_out: Option<Site>, length: Millis) {
+    /// Like [`Scenario::load_for`], but sends no requests to the node `excluded`.
+    pub fn load_excluding(&mut self, excluded: Option<Site>, length: Millis) {
         let end = self.fleet.now + length;
         while self.fleet.now < end {
-            for site in self.fleet.sites().filter(|&site| Some(site) != left_out) {
+            for site in self.fleet.sites().filter(|&site| Some(site) != excluded) {
                 self.send(site);
             }
-            self.fleet.run_until(end.min(self.fleet.now + LOAD_PERIOD));
+            self.fleet.run_until(end.min(self.fleet.now + REQUEST_INTERVAL));
         }
     }
 
@@ -129,7 +130,7 @@
         self.sent
     }
 
-    /// Proposes the withdrawal through a node, as an operator who has seen all that the node has.
+    /// Proposes the withdrawal through a node, on top of the revision that this node has.
     pub fn withdraw(&mut self, site: Site) {
         let expected = self.revision(site);
         self.propose(site, 1, "withdraw", expected, vec![withdrawal()]);
@@ -147,14 +148,14 @@
         self.fleet.propose(site, ticket, proposal);
     }
 
-    /// The revision of the configuration that a node is at.
+    /// The revision of a node's configuration.
     pub fn revision(&self, site: Site) -> Revision {
         self.fleet.world_at(site).tables().configuration.revision
     }
 
-    /// Lets time pass under load until the platform holds the withdrawal.
+    /// Runs the fleet under load until the platform holds the withdrawal. Returns that time.
     pub fn load_until_accepted(&mut self) -> Millis {
-        let path = Path { kind: Kind::Key, name: WITHDRAWN.into() };
+        let path = Path { kind: Kind::Key, name: WITHDRAWN_KEY.into() };
         let limit = self.fleet.now + Millis::from_secs(10);
         while self.fleet.now < limit {
             if self.fleet.platform.configuration(&path) == Some(&withdrawal()) {
@@ -162,28 +163,28 @@
             }
             self.load_for(Millis(1));
         }
-        panic!("the withdrawal was not accepted");
+        panic!("the platform did not accept the withdrawal within 10 s");
     }
 
-    /// When targets began to run requests with a key.
-    pub fn runs_of(&self, key: &str) -> impl DoubleEndedIterator<Item = Millis> {
+    /// The times at which targets began to run requests with a key, in order.
+    pub fn runs_with_key(&self, key: &str) -> impl DoubleEndedIterator<Item = Millis> {
         let ran = self.fleet.ran.iter().filter(move |ran| ran.key_id.as_deref() == Some(key));
         ran.map(|ran| ran.at)
     }
 
-    /// What callers that sent between two points to nodes of a data centre received, counted by
-    /// key and outcome.
+    /// Counts, by key and outcome, the results of requests that were sent to nodes of a data centre
+    /// from `from` until `to`.
     pub fn outcomes(&self, data_centre: &str, from: Millis, to: Millis) -> String {
         let mut counts: BTreeMap<(&str, String), usize> = BTreeMap::new();
         for received in &self.fleet.received {
             let identity = self.fleet.world_at(received.site).identity();
             if identity.data_centre() == data_centre && received.sent >= from && received.sent < to
             {
-                let key = [WITHDRAWN, KEPT, "no key"][received.root as usize % 3];
+                let key = [WITHDRAWN_KEY, VALID_KEY, "no key"][received.root as usize % 3];
                 *counts.entry((key, outcome(received))).or_default() += 1;
             }
         }
-        if counts.keys().all(|(_, what)| what == "whole") {
+        if counts.keys().all(|(_, outcome)| outcome == "whole") {
             return format!("all {} whole", counts.values().sum::<usize>());
         }
         let counts = counts.into_iter().map(|((key, what), count)| format!("{key} {count} {what}"));
@@ -191,7 +192,7 @@
     }
 }
 
-/// What a caller received, in a word or two.
+/// A short description of what a caller received.
 fn outcome(received: &Received) -> String {
     match &received.verdict {
         None => "broken".to_owned(),
--- a/crates/mustardpin-virtual/tests/testsuite/shedding.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/shedding.rs
@@ -10,42 +10,48 @@
 use crate::support;
 
 const SERVICES: [&str; 3] = ["front", "middle", "deep"];
-/// A narrow service: two targets of so many slots, and the flood as a multiple of its capacity.
+/// The size of the service that is the bottleneck of the chain; it has two targets.
 #[derive(Clone, Copy)]
-struct Narrow {
+struct BottleneckSize {
+    /// The slots of each target.
     slots: usize,
-    mean: f64,
-    flood: f64,
+    /// The mean time that a request runs, in milliseconds.
+    mean_ms: f64,
+    /// The flood, as a multiple of the capacity.
+    flood_factor: f64,
 }
 
-const SIZES: [Narrow; 2] =
-    [Narrow { slots: 5, mean: 50.0, flood: 10.0 }, Narrow { slots: 20, mean: 100.0, flood: 5.0 }];
+const SIZES: [BottleneckSize; 2] = [
+    BottleneckSize { slots: 5, mean_ms: 50.0, flood_factor: 10.0 },
+    BottleneckSize { slots: 20, mean_ms: 100.0, flood_factor: 5.0 },
+];
 
-impl Narrow {
-    /// Requests a second that its two targets can run.
+impl BottleneckSize {
+    /// The requests a second that the two targets can run.
     fn capacity(self) -> f64 {
-        2.0 * self.slots as f64 * 1_000.0 / self.mean
+        2.0 * self.slots as f64 * 1_000.0 / self.mean_ms
     }
 }
 
-/// The share of important requests that must be served while less important ones are.
-const BOUND: f64 = 0.99;
+/// The minimum share of more important requests that is served during a flood of unimportant ones.
+const MIN_SERVED_SHARE: f64 = 0.99;
 
-/// What callers send, by team, path, importance and share of the capacity; of the last, as
-/// many times as the size says.
+/// What callers send: team, path, importance and rate as a share of the bottleneck's capacity. The
+/// rate of the last, the flood, is multiplied by the flood factor.
 const DEMAND: [(&str, &str, Importance, f64); 3] = [
     ("desk", "/front/book", Importance::CRITICAL, 0.3),
     ("garage", "/front/search", Importance::NORMAL, 0.3),
     ("flood", "/front/browse", Importance::LOW, 1.0),
 ];
 
-fn fleet(seed: u64, narrow: usize, size: Narrow, discipline: Discipline) -> Fleet {
+fn fleet(seed: u64, bottleneck: usize, size: BottleneckSize, discipline: Discipline) -> Fleet {
     let queueing = Queueing { discipline, ..Queueing::default() };
     let mut fleet = Fleet::new(seed, Options { queueing, ..Options::default() });
     let mut rows = Vec::new();
     for (level, name) in SERVICES.into_iter().enumerate() {
-        let slots = if level == narrow { size.slots } else { 100 };
-        let mut service = Service::leaf(name, slots, if level == narrow { size.mean } else { 5.0 });
+        let slots = if level == bottleneck { size.slots } else { 100 };
+        let mut service =
+            Service::leaf(name, slots, if level == bottleneck { size.mean_ms } else { 5.0 });
         service.calls =
             SERVICES.get(level + 1).map(|next| format!("/{next}")).into_iter().collect();
         service.resends = 2;
@@ -67,24 +73,24 @@
     fleet
 }
 
-/// The share of each kind of request that was served, the important ones first.
-fn served(seed: u64, narrow: usize, size: Narrow, discipline: Discipline) -> Vec<f64> {
-    const LENGTH: u64 = 15_000;
-    /// Requests of the first seconds are left out: limits and shares are not known yet.
-    const LEARNING: u64 = 3_000;
+/// The share of each kind of request that was served, in the order of [`DEMAND`].
+fn served(seed: u64, bottleneck: usize, size: BottleneckSize, discipline: Discipline) -> Vec<f64> {
+    const LENGTH_MS: u64 = 15_000;
+    /// Requests of the first seconds aren't counted: limits and admitted shares aren't known yet.
+    const WARM_UP_MS: u64 = 3_000;
 
-    let mut fleet = fleet(seed, narrow, size, discipline);
+    let mut fleet = fleet(seed, bottleneck, size, discipline);
     let mut sent = vec![Vec::new(); DEMAND.len()];
-    for now in 0..LENGTH {
+    for now in 0..LENGTH_MS {
         for (kind, (team, path, _, share)) in DEMAND.into_iter().enumerate() {
-            let times = if kind + 1 == DEMAND.len() { size.flood } else { 1.0 };
-            let rate = share * times * size.capacity();
+            let factor = if kind + 1 == DEMAND.len() { size.flood_factor } else { 1.0 };
+            let rate = share * factor * size.capacity();
             let due = |now: u64| (now as f64 * rate / 1_000.0) as u64;
             for number in due(now)..due(now + 1) {
                 let key = format!("{team}-1.secret");
                 let request = Request { fingerprint: number, ..Request::get(path, &key) };
                 let root = fleet.send(Site((number % 6) as usize), request);
-                if now >= LEARNING {
+                if now >= WARM_UP_MS {
                     sent[kind].push(root);
                 }
             }
@@ -92,9 +98,10 @@
         fleet.run_for(Millis(1));
     }
     fleet.run_for(Millis::from_secs(3));
-    let is_whole = |root: &&u64| fleet.answer_to(**root).is_some_and(|answer| answer.is_whole());
+    let is_complete =
+        |root: &&u64| fleet.answer_to(**root).is_some_and(|response| response.is_whole());
     sent.iter()
-        .map(|roots| roots.iter().filter(is_whole).count() as f64 / roots.len() as f64)
+        .map(|roots| roots.iter().filter(is_complete).count() as f64 / roots.len() as f64)
         .collect()
 }
 
@@ -104,16 +111,16 @@
     for seed in support::seeds(2) {
         report.clear();
         let levels = SERVICES.into_iter().enumerate();
-        for ((narrow, name), size) in
+        for ((bottleneck, name), size) in
             levels.flat_map(|level| SIZES.into_iter().map(move |size| (level, size)))
         {
-            let served = served(seed, narrow, size, Discipline::Fair);
+            let served = served(seed, bottleneck, size, Discipline::Fair);
             let line = |what: &str, holds: bool| {
                 let verdict = if holds { "holds" } else { "fails" };
                 format!("narrow {name} of {} slots: {what}: {verdict}\n", size.slots)
             };
-            report += &line("critical at least 99%", served[0] >= BOUND);
-            report += &line("normal at least 99%", served[1] >= BOUND);
+            report += &line("critical at least 99%", served[0] >= MIN_SERVED_SHARE);
+            report += &line("normal at least 99%", served[1] >= MIN_SERVED_SHARE);
             report += &line("low less than normal", served[2] < served[1]);
             assert!(!report.contains("fails"), "seed {seed}: {report}{served:?}");
         }
@@ -122,7 +129,7 @@
 }
 
 #[test]
-fn a_queue_in_order_of_arrival_refuses_important_requests() {
+fn a_fifo_queue_refuses_important_requests() {
     let served = served(0, 2, SIZES[1], Discipline::Fifo);
-    assert!(served[0] < BOUND, "{served:?}");
+    assert!(served[0] < MIN_SERVED_SHARE, "{served:?}");
 }
--- a/crates/mustardpin-virtual/tests/testsuite/support.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! A builder of small fleets and of configuration rows.
+//! Builders of small fleets and of configuration rows.
 
 use mustardpin_virtual::{Fleet, Service};
 use mustardpin_world::{
@@ -7,10 +7,10 @@
     id::KeyDigest,
 };
 
-/// The seeds a test runs with: a few, or as many as `MUSTARDPIN_SEEDS` says.
-pub fn seeds(few: u64) -> std::ops::Range<u64> {
-    let many = std::env::var("MUSTARDPIN_SEEDS").ok().and_then(|text| text.parse().ok());
-    0..many.unwrap_or(few)
+/// The seeds of a test: `default_count` of them, or as many as `MUSTARDPIN_SEEDS` says.
+pub fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let count = std::env::var("MUSTARDPIN_SEEDS").ok().and_then(|text| text.parse().ok());
+    0..count.unwrap_or(default_count)
 }
 
 pub fn team(name: &str, rate: u32, burst: u32) -> Row {
@@ -18,7 +18,7 @@
     Row::Team(Team { name: name.into(), rate, burst, weight: 1, importance })
 }
 
-/// The key `TEAM-1.secret` of a team.
+/// The key `TEAM-1.secret` of a team, whose id is `TEAM-1`.
 pub fn key(team: &str) -> Row {
     Row::Key(Key {
         id: format!("{team}-1").into(),
@@ -39,7 +39,7 @@
     fleet.platform.put_configuration(rows);
 }
 
-/// Three data centres with so many nodes of one service in each.
+/// Three data centres with `nodes` nodes of one service in each.
 pub fn fleet(seed: u64, options: Options, service: &Service, nodes: usize) -> Fleet {
     let mut fleet = Fleet::new(seed, options);
     for data_centre in ["north", "south", "west"] {
