--- a/crates/mustardpin-http/src/framing.rs
+++ b/crates/mustardpin-http/src/framing.rs
@@ -64,24 +64,22 @@
     for (name, value) in headers.iter() {
         if name.eq_ignore_ascii_case("content-length") {
             if length.is_some_and(|other| other != value) {
-                return Err(Error::Framing("conflicting Content-Length headers"));
+                return Err(Error::Framing("two lengths"));
             }
             length = Some(value);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             if coding.is_some() {
-                return Err(Error::Framing("more than one Transfer-Encoding header"));
+                return Err(Error::Framing("two transfer codings"));
             }
             coding = Some(value);
         }
     }
     match (length, coding) {
-        (Some(_), Some(_)) => {
-            Err(Error::Framing("both Content-Length and Transfer-Encoding are set"))
-        }
+        (Some(_), Some(_)) => Err(Error::Framing("a length and a transfer coding")),
         (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => {
             Ok(Some(Framing::Chunked))
         }
-        (None, Some(_)) => Err(Error::Framing("unsupported transfer coding")),
+        (None, Some(_)) => Err(Error::Framing("an unknown transfer coding")),
         (Some(length), None) => parse_length(length).map(|length| Some(Framing::Length(length))),
         (None, None) => Ok(None),
     }
@@ -90,5 +88,5 @@
 fn parse_length(text: &[u8]) -> Result<u64, Error> {
     let is_number = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
     let text = std::str::from_utf8(text).ok().filter(|_| is_number);
-    text.and_then(|text| text.parse().ok()).ok_or(Error::Framing("Content-Length is not a number"))
+    text.and_then(|text| text.parse().ok()).ok_or(Error::Framing("the length is not a number"))
 }
--- a/crates/mustardpin-node/src/admin.rs
+++ b/crates/mustardpin-node/src/admin.rs
@@ -149,7 +149,7 @@
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(malformed(format_args!(
             "the body is larger than {MAX_BODY_BYTES} bytes; split the change"
         ))),
-        Ok(Err(_)) | Err(_) => Err(malformed("the body was truncated or timed out; send it again")),
+        Ok(Err(_)) | Err(_) => Err(malformed("the body broke off; send it again")),
     }
 }
 
--- a/crates/mustardpin-node/src/metrics.rs
+++ b/crates/mustardpin-node/src/metrics.rs
@@ -139,26 +139,22 @@
     let age = tables.freshness.configuration_age(now).min(now);
     vec![
         ("calls", "Requests in progress", tables.calls.len() as f64),
-        ("target_open", "Whether the local target takes requests", flag(target.is_open())),
-        ("target_running", "Requests running on the local target", target.running.into()),
-        ("target_queued", "Requests waiting for the local target", target.queued.into()),
-        ("target_limit", "Requests that may run on the local target at once", target.limit.into()),
+        ("target_open", "Whether the own target takes requests", flag(target.is_open())),
+        ("target_running", "Requests running on the own target", target.running.into()),
+        ("target_queued", "Requests waiting for the own target", target.queued.into()),
+        ("target_limit", "Requests that may run on the own target at once", target.limit.into()),
         ("peers", "Peers that the node knows", tables.peers.len() as f64),
         ("peers_open", "Peers that take requests", open_peers as f64),
-        ("leaving", "Whether the node is draining", flag(tables.leaving)),
+        ("leaving", "Whether the node is leaving", flag(tables.leaving)),
         (
             "configuration_revision",
-            "The revision of the configuration in use",
+            "The configuration in force",
             tables.configuration.revision.0 as f64,
         ),
-        (
-            "configuration_age_seconds",
-            "The time since the node knew the configuration to be current",
-            seconds(age),
-        ),
+        ("configuration_age_seconds", "The age of the node's knowledge of it", seconds(age)),
         (
             "cut_off",
-            "Whether the node's configuration is too old to decide on keys",
+            "Whether the node may not judge keys any more",
             flag(tables.freshness.is_cut_off),
         ),
         ("suspects", "Requests that may crash targets", tables.suspects.len() as f64),
@@ -176,7 +172,7 @@
 impl Collector for Snapshot {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
         encode_counters(&mut encoder, "refusals", "Requests refused", "reason", &self.refusals)?;
-        encode_counters(&mut encoder, "retries", "Requests retried", "cause", &self.retries)?;
+        encode_counters(&mut encoder, "retries", "Requests tried again", "cause", &self.retries)?;
         encode_counters(&mut encoder, "work", "Work done", "kind", &self.work)?;
         for (name, help, value) in &self.gauges {
             let gauge = ConstGauge::new(*value);
--- a/crates/mustardpin-wire/src/admin.rs
+++ b/crates/mustardpin-wire/src/admin.rs
@@ -139,7 +139,7 @@
     #[display("there is no such operation")]
     NotFound,
     /// The store did not reply in time, so whether the change took effect is unknown.
-    #[display("the store does not respond; retry the change with the same change id")]
+    #[display("the store does not answer; send the change again with the same change id")]
     Unavailable,
     /// The platform's operators write the configuration directly, not through nodes.
     #[display("the configuration of this deployment is not changed through nodes")]
--- a/crates/mustardpin-wire/src/config.rs
+++ b/crates/mustardpin-wire/src/config.rs
@@ -16,9 +16,7 @@
     #[display("the digest is not 64 hexadecimal digits")]
     Digest,
     /// The text is neither a named importance nor a number up to 255.
-    #[display(
-        "`{_0}` is not an importance; write low, normal, high, critical or a number up to 255"
-    )]
+    #[display("`{_0}` is no importance; write low, normal, high, critical or a number up to 255")]
     Importance(#[error(not(source))] CompactString),
     /// No kind of row has this name.
     #[display("there is no kind of row named {_0:?}")]
--- a/crates/mustardpin-wire/src/store.rs
+++ b/crates/mustardpin-wire/src/store.rs
@@ -23,7 +23,7 @@
 #[derive(Display, Error, From)]
 pub enum Error {
     /// The key is not the key of any kind of row.
-    #[display("the key {_0:?} does not identify a row")]
+    #[display("the key {_0:?} names no row of the project")]
     #[from(skip)]
     Key(#[error(not(source))] CompactString),
     /// The value is not JSON, or doesn't have the fields of its kind of row.
