--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -25,7 +25,7 @@
     pub routing: Routing,
     /// Options of the quarantine system.
     pub quarantine: Quarantine,
-    /// Options of the rating system.
+    /// Options of the rate limit system.
     pub rate_limit: RateLimit,
     /// Options of the stop system.
     pub stop: Stop,
@@ -313,7 +313,7 @@
     Even,
 }
 
-/// Options of the rating system.
+/// Options of the rate limit system.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RateLimit {
     /// How a team's rate is divided between nodes.
--- a/crates/mustardpin-world/src/request.rs
+++ b/crates/mustardpin-world/src/request.rs
@@ -33,7 +33,7 @@
         /// The digest of the key, if the request has one.
         key: Option<KeyDigest>,
     },
-    /// The node's own target.
+    /// The node's local target.
     Target {
         /// The token of the call that the target was running when it sent this one, if it was sent
         /// along.
--- a/crates/mustardpin-world/src/system/rate_limit/leasing.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/leasing.rs
@@ -22,7 +22,7 @@
 
 /// Time before another lease request to a shard owner that did not reply.
 const UNREACHABLE_BACKOFF: Millis = Millis(500);
-/// Time without a reply after which the next shard owner is asked as well.
+/// Time without a reply after which a lease request is also sent to the next shard owner.
 const HEDGE_DELAY: Millis = Millis(20);
 /// Minimum time before another lease request to a bucket that was empty.
 const EMPTY_BACKOFF: Millis = Millis(5);
@@ -362,8 +362,8 @@
     }
 }
 
-/// Refuses calls that have waited too long. If no shard can be asked at present, also refuses the
-/// least important calls beyond the number that the rate yields within the maximum wait.
+/// Refuses calls that have waited too long. If all shards are in backoff, also refuses the least
+/// important calls beyond the number that the rate yields within the maximum wait.
 fn refuse(world: &mut World, tick: &mut Tick, team: TeamKey, parameters: &BucketParameters) {
     let max_wait = max_wait(world, tick.now);
     let served_within_wait = u64::from(parameters.rate) * max_wait.0 / 1_000 + 1;
--- a/crates/mustardpin-world/src/system/resend.rs
+++ b/crates/mustardpin-world/src/system/resend.rs
@@ -1,6 +1,6 @@
-//! Recognises root requests that callers resend after a failure, and limits them by team.
+//! Recognises client retries of failed root requests, and limits them by team.
 //!
-//! Non-repeatable requests are not limited: their callers resend them only after a refusal that
+//! Non-repeatable requests are not limited: their callers retry them only after a refusal that
 //! says that they have not run.
 
 use crate::{
@@ -13,10 +13,10 @@
     world::World,
 };
 
-/// Wait that a refused caller is asked to observe before it resends the request.
+/// Wait that a refused caller is asked to observe before it retries the request.
 const RETRY_AFTER: Millis = Millis(1_000);
 
-/// Identity of a root request: requests with equal identities count as resends of one another.
+/// Identity of a root request: requests with equal identities count as retries of one another.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Identity {
     pub(super) team: TeamKey,
@@ -24,8 +24,8 @@
     pub(super) fingerprint: Fingerprint,
 }
 
-/// Returns the retry allowance that a root request starts with, or refuses the request. A resend
-/// starts with none, since its caller has already retried in place of the node.
+/// Returns the retry allowance that a root request starts with, or refuses the request. A client
+/// retry starts with none, since its caller has already retried in place of the node.
 pub(super) fn admit(
     world: &mut World,
     now: Millis,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Whether callers tend to resend a request that was refused for this reason.
+/// Whether callers tend to retry a request that was refused for this reason.
 fn is_likely_resent(reason: Reason) -> bool {
     let failed = matches!(
         reason,
--- a/crates/mustardpin-world/src/system/retry.rs
+++ b/crates/mustardpin-world/src/system/retry.rs
@@ -43,7 +43,7 @@
     tokens: &'a mut f64,
 }
 
-/// Decides which retries and resends are allowed.
+/// Decides which retries by nodes, targets and callers are allowed.
 trait Policy: Debug + Send {
     /// Pays for a retry that the node makes. Returns false if the budget doesn't allow it.
     fn allow_retry(&self, budget: Budget<'_>) -> bool;
@@ -52,8 +52,8 @@
     /// allow it.
     fn allow_nested_retry(&self, budget: Budget<'_>) -> bool;
 
-    /// How often a caller may resend a root request that has this allowance; `None` if resends are
-    /// not limited.
+    /// How often a caller may retry a root request that has this allowance; `None` if client
+    /// retries are not limited.
     fn max_resends(&self, allowance: u32) -> Option<u32>;
 }
 
@@ -73,7 +73,7 @@
         State { policy }
     }
 
-    /// How often a caller may resend a root request that has this allowance; see [`Policy`].
+    /// How often a caller may retry a root request that has this allowance; see [`Policy`].
     pub(super) fn max_resends(&self, allowance: u32) -> Option<u32> {
         self.policy.max_resends(allowance)
     }
--- a/crates/mustardpin-world/src/system/retry/chain.rs
+++ b/crates/mustardpin-world/src/system/retry/chain.rs
@@ -1,8 +1,8 @@
-//! One allowance for each root request, with a ratio of successes on top.
+//! A retry allowance for each root request, and retry tokens for each service.
 
 use crate::system::retry::{Budget, Policy};
 
-/// Repeats cost one of the allowance and one that successes have earned.
+/// A retry costs one of the call's allowance and one retry token of the service.
 #[derive(Debug)]
 pub(super) struct Chain;
 
--- a/crates/mustardpin-world/src/system/retry/ratio.rs
+++ b/crates/mustardpin-world/src/system/retry/ratio.rs
@@ -1,8 +1,8 @@
-//! A ratio of successes, by each node for itself.
+//! A ratio of retries to requests for each service, applied by each node for itself.
 
 use crate::system::retry::{Budget, Policy};
 
-/// Repeats cost one that successes have earned; nothing limits them along the chain.
+/// A retry costs one retry token of the service. Retries in a chain of calls are not limited.
 #[derive(Debug)]
 pub(super) struct Ratio;
 
--- a/crates/mustardpin-world/src/system/retry/unbounded.rs
+++ b/crates/mustardpin-world/src/system/retry/unbounded.rs
@@ -1,8 +1,8 @@
-//! No limit on repeats, and none made by the system.
+//! No limit on the retries of callers and targets; the system itself retries nothing.
 
 use crate::system::retry::{Budget, Policy};
 
-/// What happens without any control: targets and callers repeat as they like.
+/// Admits every retry of a caller or target. A baseline for measurements.
 #[derive(Debug)]
 pub(super) struct Unbounded;
 
--- a/crates/mustardpin-world/src/table/peer.rs
+++ b/crates/mustardpin-world/src/table/peer.rs
@@ -73,7 +73,7 @@
     pub load: Option<Load>,
     /// When it last reported its load.
     pub load_as_of: Millis,
-    /// The latency of its responses, as a multiple of the usual latency on their routes.
+    /// The latency of its responses, as a multiple of the usual latency. Not measured: always 1.
     pub latency_ratio: f32,
     /// Its health as seen from forwarded requests, for outlier ejection.
     pub health: Health,
--- a/crates/mustardpin-world/src/table/resend.rs
+++ b/crates/mustardpin-world/src/table/resend.rs
@@ -1,4 +1,4 @@
-//! Root requests that failed recently, to recognise when their callers resend them.
+//! Root requests that failed recently, to recognise when their callers retry them.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -15,11 +15,12 @@
 pub struct FailedRequest {
     /// When it last failed.
     pub at: Millis,
-    /// How often it was resent.
+    /// How often its caller has retried it.
     pub resends: u32,
 }
 
-/// The table of failed root requests, by the hash of their identity, and the teams' resend budgets.
+/// The table of failed root requests, by the hash of their identity, and the teams' budgets for
+/// client retries.
 #[derive(Debug, Default)]
 pub struct FailedRequests {
     rows: HashMap<u64, FailedRequest, RandomState>,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Remaining tokens of a team's resend budget; a team starts with `burst`.
+    /// Remaining tokens of a team's budget for client retries; a team starts with `burst`.
     pub fn tokens(&mut self, team: TeamKey, burst: f64) -> Option<&mut f64> {
         Some(self.tokens.entry(team)?.or_insert(burst))
     }
