--- a/crates/mustardpin-node/src/traffic.rs
+++ b/crates/mustardpin-node/src/traffic.rs
@@ -67,9 +67,9 @@
         message: Message,
     },
     /// Maintain a connection to this peer.
-    Link(Announcement),
+    OpenLink(Announcement),
     /// Close the connection to this peer and stop reconnecting.
-    Unlink(NodeId),
+    CloseLink(NodeId),
     /// Set the address of the local target; `None` if there is no target.
     Target(Option<TargetAddress>),
     /// Set the load that is reported with every response to a peer.
@@ -80,7 +80,7 @@
         urgent: bool,
     },
     /// Set the limits that apply to callers' requests.
-    Callers(CallerLimits),
+    CallerLimits(CallerLimits),
     /// Set whether readiness checks succeed.
     Ready(bool),
     /// Begin draining: close callers' connections as they become idle.
--- a/crates/mustardpin-node/src/traffic/dispatch.rs
+++ b/crates/mustardpin-node/src/traffic/dispatch.rs
@@ -55,8 +55,8 @@
         }
         TrafficCommand::Cancel(ticket) => exchanges.cancel(ticket),
         TrafficCommand::Send { to, message } => exchanges.links.send(to, message),
-        TrafficCommand::Link(announcement) => exchanges.links.connect(exchanges, announcement),
-        TrafficCommand::Unlink(node) => exchanges.links.disconnect(node),
+        TrafficCommand::OpenLink(announcement) => exchanges.links.connect(exchanges, announcement),
+        TrafficCommand::CloseLink(node) => exchanges.links.disconnect(node),
         TrafficCommand::Target(address) => exchanges.target.set(address),
         TrafficCommand::Publish { load, urgent } => {
             exchanges.set_load(load);
@@ -64,7 +64,7 @@
                 exchanges.links.publish(load.into());
             }
         }
-        TrafficCommand::Callers(callers) => exchanges.set_callers(callers),
+        TrafficCommand::CallerLimits(callers) => exchanges.set_callers(callers),
         TrafficCommand::Ready(ready) => exchanges.set_ready(ready),
         TrafficCommand::CloseIdle => exchanges.advance_stage(Stage::Leaving),
         TrafficCommand::Exit => exchanges.advance_stage(Stage::Exiting),
--- a/crates/mustardpin-node/tests/testsuite/fake/side.rs
+++ b/crates/mustardpin-node/tests/testsuite/fake/side.rs
@@ -111,7 +111,7 @@
         };
         let target_address =
             TargetAddress { address: target.to_string().into(), instance: "".into() };
-        side.execute(TrafficCommand::Target(Some(target_address)));
+        side.dispatch(TrafficCommand::Target(Some(target_address)));
         side
     }
 
@@ -120,14 +120,14 @@
         self.clock.0.store(now.0, Ordering::SeqCst);
     }
 
-    /// Executes a command.
-    pub fn execute(&self, command: TrafficCommand) {
+    /// Passes a command to the dispatcher.
+    pub fn dispatch(&self, command: TrafficCommand) {
         self.dispatcher.lock().expect("the lock is not poisoned").execute(vec![command]);
     }
 
     /// Finishes a request with this verdict.
     pub fn finish(&self, ticket: Ticket, verdict: Verdict) {
-        self.execute(TrafficCommand::Finish { ticket, verdict, retries: 0 });
+        self.dispatch(TrafficCommand::Finish { ticket, verdict, retries: 0 });
     }
 
     /// Waits for the next event, which must be the arrival of a request.
--- a/crates/mustardpin-node/tests/testsuite/link.rs
+++ b/crates/mustardpin-node/tests/testsuite/link.rs
@@ -50,11 +50,11 @@
 #[test]
 fn messages_arrive_in_the_order_they_were_sent() {
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
-    two.execute(TrafficCommand::Link(one.announcement.clone()));
+    two.dispatch(TrafficCommand::OpenLink(one.announcement.clone()));
     next_event(&two, is_link_up);
     assert_eq!(one.event(), Event::PeerSeen(two.announcement.clone()));
     for after in 0..200 {
-        two.execute(TrafficCommand::Send { to: NodeId(1), message: message(after) });
+        two.dispatch(TrafficCommand::Send { to: NodeId(1), message: message(after) });
     }
     for after in 0..200 {
         let event = Event::Peer { from: NodeId(2), message: message(after) };
@@ -65,10 +65,10 @@
 #[test]
 fn a_node_reports_the_load_of_its_target_to_peers() {
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
-    two.execute(TrafficCommand::Link(one.announcement.clone()));
+    two.dispatch(TrafficCommand::OpenLink(one.announcement.clone()));
     next_event(&two, is_link_up);
     let load = Load { open: true, running: 3, limit: 8, ..Load::default() };
-    one.execute(TrafficCommand::Publish { load, urgent: true });
+    one.dispatch(TrafficCommand::Publish { load, urgent: true });
     let reported =
         next_event(&two, |event| matches!(event, Event::Load { load, .. } if load.running == 3));
     assert_eq!(reported, Event::Load { from: NodeId(1), load });
@@ -89,7 +89,7 @@
     ];
     for (name, credential, announcement) in cases {
         let two = node(2, credential);
-        two.execute(TrafficCommand::Link(announcement));
+        two.dispatch(TrafficCommand::OpenLink(announcement));
         let event = next_event(&two, |event| !is_link_up(event));
         report.push_str(&format!("{name}: {event:?}\n"));
     }
@@ -113,7 +113,7 @@
         service: "slots".into(),
         address: address.into(),
     };
-    two.execute(TrafficCommand::Link(announcement));
+    two.dispatch(TrafficCommand::OpenLink(announcement));
     let begin = Instant::now();
     let tickets: Vec<Ticket> = (0..WAITING)
         .map(|_| {
@@ -123,7 +123,7 @@
         })
         .collect();
     for &ticket in &tickets {
-        two.execute(TrafficCommand::Forward(forward(ticket)));
+        two.dispatch(TrafficCommand::Forward(forward(ticket)));
     }
     let is_end = |event: &Event| matches!(event, Event::ForwardEnded { .. });
     for _ in 0..WAITING {
@@ -140,7 +140,7 @@
     const STEP: Millis = Millis(100);
     let (one, two) = (node(1, "fleet"), node(2, "fleet"));
     let relay = Relay::start(&one.announcement.address);
-    two.execute(TrafficCommand::Link(Announcement {
+    two.dispatch(TrafficCommand::OpenLink(Announcement {
         address: relay.address.to_string().into(),
         ..one.announcement.clone()
     }));
@@ -152,7 +152,7 @@
         assert!(now < Millis::from_secs(4), "{seen:?}");
         now = now + STEP;
         two.set_time(now);
-        two.execute(TrafficCommand::Send { to: NodeId(1), message: message(1) });
+        two.dispatch(TrafficCommand::Send { to: NodeId(1), message: message(1) });
         thread::sleep(Duration::from_millis(STEP.0));
         while !two.has_no_events() {
             seen.push(two.event());
--- a/crates/mustardpin-node/tests/testsuite/run.rs
+++ b/crates/mustardpin-node/tests/testsuite/run.rs
@@ -47,7 +47,7 @@
     let ticket = side.accept().ticket;
     // This is the case if the process was frozen between the decision and the first byte.
     side.set_time(Millis(501));
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::NotSent));
     assert!(target.seen().is_empty());
     let refusal = Refusal::not_run(Reason::TargetFailed);
@@ -62,7 +62,7 @@
         side.set_time(Millis(now));
         let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.execute(TrafficCommand::Run(run(ticket)));
+        side.dispatch(TrafficCommand::Run(run(ticket)));
         let event = side.event();
         assert_eq!(target.seen().len(), runs, "at {now} ms: {event:?}");
         side.finish(ticket, Verdict::Refuse(Refusal::not_run(Reason::TargetFailed)));
@@ -75,7 +75,7 @@
     let (side, _target) = start(text(COMPLETE), Limits::default());
     let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     let response = read_all(caller);
     insta::assert_snapshot!(format!("{}\n\n{}", response.head(), response.body()));
     assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED));
@@ -89,10 +89,10 @@
     let (side, _target) = start(text(failed), Limits::default());
     let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     let end = RunEnd::Answered { status: 500, report: None };
     assert_eq!(side.event(), Event::RunEnded(ticket, end));
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, end));
     side.finish(ticket, Verdict::Pass);
     let response = read_all(caller);
@@ -105,7 +105,7 @@
     let (side, _target) = start(steps, Limits::default());
     let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     caller.shutdown(Shutdown::Both).expect("the connection is open");
     drop(caller);
     assert_eq!(side.event(), Event::CallerGone(ticket));
@@ -120,9 +120,9 @@
         let (side, target) = start(steps, Limits::default());
         let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.execute(TrafficCommand::Run(run(ticket)));
+        side.dispatch(TrafficCommand::Run(run(ticket)));
         wait_until(|| target.seen().len() == 1);
-        side.execute(TrafficCommand::Cancel(ticket));
+        side.dispatch(TrafficCommand::Cancel(ticket));
         assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Cancelled));
         side.finish(ticket, refuse(Reason::CallerGone));
         wait_until(|| target.closed() == 1);
@@ -136,9 +136,9 @@
     let (side, target) = start(vec![Step::Wait(Duration::from_millis(600))], Limits::default());
     let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     wait_until(|| target.seen().len() == 1);
-    side.execute(TrafficCommand::Cancel(ticket));
+    side.dispatch(TrafficCommand::Cancel(ticket));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Cancelled));
     side.finish(ticket, refuse(Reason::DeadlineDuringRun));
     assert_eq!(read_all(caller).status(), 504);
@@ -153,7 +153,7 @@
     let (side, target) = start(steps, Limits::default());
     let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::Broken));
     assert_eq!(target.seen().len(), 1);
     side.finish(ticket, refuse(Reason::TargetFailed));
@@ -171,7 +171,7 @@
     let (side, target) = start(steps, Limits::default());
     let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    side.execute(TrafficCommand::Run(run(ticket)));
+    side.dispatch(TrafficCommand::Run(run(ticket)));
     let response = read_all(caller);
     assert!(response.text.starts_with("HTTP/1.1 200 OK") && response.body().len() < 2 * size);
     let mut events = vec![side.event(), side.event()];
@@ -190,7 +190,7 @@
     for number in 1..=20 {
         let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.execute(TrafficCommand::Run(run(ticket)));
+        side.dispatch(TrafficCommand::Run(run(ticket)));
         assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED), "request {number}");
         assert_eq!(target.seen().len(), number);
         assert_eq!(read_all(caller).body(), "hello");
@@ -205,7 +205,7 @@
     let book_once = || {
         let caller = send_booking(&side);
         let ticket = side.accept().ticket;
-        side.execute(TrafficCommand::Run(Run { repeatable: false, ..run(ticket) }));
+        side.dispatch(TrafficCommand::Run(Run { repeatable: false, ..run(ticket) }));
         assert_eq!(side.event(), Event::RunEnded(ticket, ANSWERED));
         assert_eq!(read_all(caller).body(), "hello");
     };
