--- a/crates/mustardpin-virtual/examples/experiments.rs
+++ b/crates/mustardpin-virtual/examples/experiments.rs
@@ -47,9 +47,9 @@
 }
 
 fn print_table(deployment: &Deployment, scenario: Scenario, seeds: u64) {
-    let mut policies = vec![Policy::whole()];
+    let mut policies = vec![Policy::full()];
     policies.extend(Policy::baselines());
-    policies.extend(Policy::without());
+    policies.extend(Policy::ablations());
     if let Ok(wanted) = env::var("MUSTARDPIN_POLICIES") {
         policies.retain(|policy| policy.name.contains(&wanted));
     }
@@ -104,19 +104,19 @@
     };
     let back = outcomes
         .iter()
-        .map(|outcome| outcome.recovery())
+        .map(|outcome| outcome.recovery_time())
         .max_by_key(|back| back.map_or(u64::MAX, |back| back.0));
     let back = back.flatten().map_or("never".to_owned(), |back| back.0.to_string());
     let mut cells = vec![
-        format!("{:.0}", least(&Outcome::goodput_in_cause)),
+        format!("{:.0}", least(&Outcome::goodput_during_overload)),
         format!("{:.0}", least(&Outcome::goodput_at_rest)),
         back,
     ];
     for importance in IMPORTANCES {
         cells.push(format!("{:.4}", least(&|outcome| outcome.served_by_importance(importance))));
     }
-    cells.push(format!("{:.4}", least(&|outcome| outcome.worst_team_but(0))));
-    cells.push(format!("{:.4}", -least(&|outcome| -outcome.refused_but(0))));
+    cells.push(format!("{:.4}", least(&|outcome| outcome.worst_team_except(0))));
+    cells.push(format!("{:.4}", -least(&|outcome| -outcome.refused_except(0))));
     let fair = |outcome: &Outcome| outcome.worst_fair_share(&deployment.teams);
     cells.push(format!("{:.2}", least(&fair)));
     let latency = outcomes.iter().map(|outcome| outcome.latency(99.0).0).max().unwrap_or(0);
--- a/crates/mustardpin-virtual/src/experiment.rs
+++ b/crates/mustardpin-virtual/src/experiment.rs
@@ -24,9 +24,9 @@
 };
 
 /// When the cause of the overload begins.
-pub const CAUSE_BEGINS: Millis = Millis::from_secs(10);
+pub const OVERLOAD_START: Millis = Millis::from_secs(10);
 /// When it ends.
-pub const CAUSE_ENDS: Millis = Millis::from_secs(40);
+pub const OVERLOAD_END: Millis = Millis::from_secs(40);
 /// When the experiment ends.
 pub const END: Millis = Millis::from_secs(60);
 /// The time callers wait for an answer.
@@ -56,12 +56,12 @@
         seed: u64,
     ) -> Experiment<'a> {
         let mut fleet = Fleet::new(seed, policy.options.clone());
-        fleet.keep_runs = false;
+        fleet.record_runs = false;
         for (index, service) in deployment.targets() {
             let service = Service {
                 resends: policy.callers.resends,
                 cancellable: policy.callers.cancellable,
-                cold: Millis::from_secs(2),
+                cold_start: Millis::from_secs(2),
                 reports: scenario.reports(),
                 ..service.clone()
             };
@@ -79,10 +79,10 @@
         self.fleet.run_until(WARM_UP);
         while self.fleet.now < WARM_UP + END {
             let now = self.fleet.now - WARM_UP;
-            if now == CAUSE_BEGINS {
+            if now == OVERLOAD_START {
                 self.begin_cause();
             }
-            if now == CAUSE_ENDS {
+            if now == OVERLOAD_END {
                 self.end_cause();
             }
             self.send(now);
@@ -130,7 +130,7 @@
 
     /// Sends the requests of one millisecond.
     fn send(&mut self, now: Millis) {
-        let is_cause = now >= CAUSE_BEGINS && now < CAUSE_ENDS;
+        let is_cause = now >= OVERLOAD_START && now < OVERLOAD_END;
         let deployment = self.deployment;
         for demand in &deployment.demand {
             for (team, share) in deployment.team_shares() {
--- a/crates/mustardpin-virtual/src/experiment/deployment.rs
+++ b/crates/mustardpin-virtual/src/experiment/deployment.rs
@@ -52,8 +52,8 @@
     format!("team-{team}.secret")
 }
 
-fn calling(name: &str, slots: usize, mean: f64, path: &str) -> Service {
-    Service { calls: vec![path.to_owned()], ..Service::leaf(name, slots, mean) }
+fn calling(name: &str, slots: usize, mean_ms: f64, path: &str) -> Service {
+    Service { calls: vec![path.to_owned()], ..Service::leaf(name, slots, mean_ms) }
 }
 
 /// Three kinds of request that need the deep service, and one that does not.
@@ -114,7 +114,7 @@
         self.services
             .iter()
             .filter(|(service, _)| service.name == self.deep)
-            .map(|(service, count)| (service.slots * count) as f64 / (service.mean / 1_000.0))
+            .map(|(service, count)| (service.slots * count) as f64 / (service.mean_ms / 1_000.0))
             .sum()
     }
 
--- a/crates/mustardpin-virtual/src/experiment/policy.rs
+++ b/crates/mustardpin-virtual/src/experiment/policy.rs
@@ -55,7 +55,7 @@
     pub const FIXED_LIMIT: u32 = 20;
 
     /// Everything as shipped.
-    pub fn whole() -> Policy {
+    pub fn full() -> Policy {
         variant("whole", |_| {})
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// The whole without one part at a time.
-    pub fn without() -> Vec<Policy> {
+    pub fn ablations() -> Vec<Policy> {
         vec![
             variant("without limit", |options| {
                 options.limit.algorithm = LimitAlgorithm::Unlimited;
--- a/crates/mustardpin-virtual/src/experiment/result.rs
+++ b/crates/mustardpin-virtual/src/experiment/result.rs
@@ -3,7 +3,7 @@
 use mustardpin_world::{Millis, config::Importance, refusal::Reason, table::counter::Retry};
 
 use crate::{
-    experiment::{CAUSE_BEGINS, CAUSE_ENDS, END},
+    experiment::{END, OVERLOAD_END, OVERLOAD_START},
     fleet::Fleet,
 };
 
@@ -46,7 +46,7 @@
         let rows = sent
             .into_iter()
             .map(|sent| {
-                let whole = fleet.answer_to(sent.root).filter(|received| received.is_whole());
+                let whole = fleet.response_to(sent.root).filter(|received| received.is_complete());
                 Row { sent, served: whole.map(|received| received.at - received.sent) }
             })
             .collect();
@@ -74,27 +74,27 @@
     }
 
     /// Goodput while the cause lasts, without its first two seconds.
-    pub fn goodput_in_cause(&self) -> f64 {
-        self.goodput(CAUSE_BEGINS + Millis::from_secs(2), CAUSE_ENDS)
+    pub fn goodput_during_overload(&self) -> f64 {
+        self.goodput(OVERLOAD_START + Millis::from_secs(2), OVERLOAD_END)
     }
 
     /// Goodput before the cause.
     pub fn goodput_at_rest(&self) -> f64 {
-        self.goodput(Millis::from_secs(3), CAUSE_BEGINS)
+        self.goodput(Millis::from_secs(3), OVERLOAD_START)
     }
 
     /// The time from the end of the cause until goodput is at 95% of that at rest and stays there
     /// for three seconds; `None` if that never happens.
-    pub fn recovery(&self) -> Option<Millis> {
+    pub fn recovery_time(&self) -> Option<Millis> {
         const STEP: Millis = Millis(500);
         const HELD: Millis = Millis::from_secs(3);
         const RECOVERED: f64 = 0.95;
 
         let rest = self.goodput_at_rest();
-        let mut from = CAUSE_ENDS;
+        let mut from = OVERLOAD_END;
         while from + HELD <= END {
             if self.goodput(from, from + HELD) >= RECOVERED * rest {
-                return Some(from - CAUSE_ENDS);
+                return Some(from - OVERLOAD_END);
             }
             from = from + STEP;
         }
@@ -104,7 +104,7 @@
     /// Requests sent while the cause lasted and the share of them that was served.
     fn served_of(&self, wanted: impl Fn(&Sent) -> bool) -> (usize, f64) {
         let in_cause = self.rows.iter().filter(|row| {
-            row.sent.at >= CAUSE_BEGINS && row.sent.at < CAUSE_ENDS && wanted(&row.sent)
+            row.sent.at >= OVERLOAD_START && row.sent.at < OVERLOAD_END && wanted(&row.sent)
         });
         let (mut sent, mut served) = (0, 0);
         for row in in_cause {
@@ -125,7 +125,7 @@
     }
 
     /// The least share served of any team but one.
-    pub fn worst_team_but(&self, excluded: usize) -> f64 {
+    pub fn worst_team_except(&self, excluded: usize) -> f64 {
         (0..self.teams)
             .filter(|&team| team != excluded)
             .map(|team| self.served_by_team(team))
@@ -133,13 +133,13 @@
     }
 
     /// The share of the requests of all teams but one that was not served.
-    pub fn refused_but(&self, excluded: usize) -> f64 {
+    pub fn refused_except(&self, excluded: usize) -> f64 {
         1.0 - self.served_of(|sent| sent.team != excluded).1
     }
 
     /// The importance of which a part was served and a part refused, each as large as possible:
     /// the one that teams had to share while the cause lasted.
-    pub fn contested(&self) -> Importance {
+    pub fn contested_importance(&self) -> Importance {
         let contest = |&importance: &Importance| {
             let (sent, share) =
                 self.served_of(|sent| sent.is_deep && sent.importance == importance);
@@ -151,7 +151,7 @@
     /// What the worst-served team got of its max-min fair share of what was served at the
     /// contested importance, given the weights of the teams.
     pub fn worst_fair_share(&self, weights: &[u32]) -> f64 {
-        let importance = self.contested();
+        let importance = self.contested_importance();
         let teams: Vec<(f64, f64)> = (0..self.teams)
             .map(|team| {
                 let (sent, share) =
@@ -171,7 +171,7 @@
         let mut latencies: Vec<Millis> = self
             .rows
             .iter()
-            .filter(|row| row.sent.at >= CAUSE_BEGINS && row.sent.at < CAUSE_ENDS)
+            .filter(|row| row.sent.at >= OVERLOAD_START && row.sent.at < OVERLOAD_END)
             .filter_map(|row| row.served)
             .collect();
         latencies.sort_unstable();
--- a/crates/mustardpin-virtual/src/fleet.rs
+++ b/crates/mustardpin-virtual/src/fleet.rs
@@ -27,7 +27,7 @@
     fleet::link::Link,
     network::Network,
     platform::{Platform, Waiting},
-    target::{Ran, Service, Target},
+    target::{RunRecord, Service, Target},
 };
 
 pub use self::caller::{Received, Request};
@@ -130,11 +130,11 @@
     /// The fake platform.
     pub platform: Platform,
     /// What targets ran, in order.
-    pub ran: Vec<Ran>,
+    pub ran: Vec<RunRecord>,
     /// What callers received, in order.
     pub received: Vec<Received>,
     /// What operators were answered.
-    pub answers: BTreeMap<u64, Result<Revision, config::ChangeError>>,
+    pub proposal_replies: BTreeMap<u64, Result<Revision, config::ChangeError>>,
     /// Log lines of nodes that are not about a request.
     pub log: Vec<(Millis, Site, Entry)>,
     /// Messages sent between worlds.
@@ -143,7 +143,7 @@
     pub message_bytes: u64,
     nodes: Vec<Node>,
     /// Whether [`Fleet::ran`] is written.
-    pub keep_runs: bool,
+    pub record_runs: bool,
     roots: Vec<(Site, Millis, Request)>,
     last_received: HashMap<u64, usize>,
     by_node: HashMap<NodeId, Site>,
@@ -171,12 +171,12 @@
             platform: Platform::default(),
             ran: Vec::new(),
             received: Vec::new(),
-            answers: BTreeMap::new(),
+            proposal_replies: BTreeMap::new(),
             log: Vec::new(),
             messages: 0,
             message_bytes: 0,
             nodes: Vec::new(),
-            keep_runs: true,
+            record_runs: true,
             roots: Vec::new(),
             last_received: HashMap::new(),
             by_node: HashMap::new(),
@@ -397,7 +397,7 @@
     }
 
     /// What the caller of a root request received last, if anything yet.
-    pub fn answer_to(&self, root: u64) -> Option<&Received> {
+    pub fn response_to(&self, root: u64) -> Option<&Received> {
         self.last_received.get(&root).map(|&index| &self.received[index])
     }
 
--- a/crates/mustardpin-virtual/src/fleet/call.rs
+++ b/crates/mustardpin-virtual/src/fleet/call.rs
@@ -93,8 +93,8 @@
                 Word::Refused(verdict) => self.receive(root, Some(verdict), None),
             },
             Waiter::Node { site: to, life, ticket } => {
-                let is_lost = self.network.answer_loss > 0.0
-                    && self.rng.random_bool(self.network.answer_loss);
+                let is_lost = self.network.response_loss > 0.0
+                    && self.rng.random_bool(self.network.response_loss);
                 if is_lost {
                     return self.lose_answer(to, life, ticket);
                 }
@@ -156,7 +156,7 @@
     pub(super) fn receive(&mut self, root: u64, verdict: Option<Verdict>, body: Option<Vec<u8>>) {
         let Some((site, sent, request)) = self.roots.get_mut(root as usize) else { return };
         let received = Received { root, site: *site, sent: *sent, at: self.now, verdict, body };
-        let resend = !received.is_whole() && request.resends > 0;
+        let resend = !received.is_complete() && request.resends > 0;
         request.resends -= u32::from(resend);
         let site = *site;
         self.last_received.insert(root, self.received.len());
--- a/crates/mustardpin-virtual/src/fleet/caller.rs
+++ b/crates/mustardpin-virtual/src/fleet/caller.rs
@@ -68,7 +68,7 @@
 
 impl Received {
     /// Whether a whole answer of a target came.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         matches!(self.verdict, Some(Verdict::Pass))
     }
 
--- a/crates/mustardpin-virtual/src/fleet/message.rs
+++ b/crates/mustardpin-virtual/src/fleet/message.rs
@@ -34,7 +34,7 @@
             jitter => Millis(self.rng.random_range(0..=jitter)),
         };
         let is_remote = self.nodes[receiver.0].data_centre != self.nodes[site.0].data_centre;
-        if is_remote && self.network.lose.is_some_and(|is_lost| is_lost(&message)) {
+        if is_remote && self.network.drop_filter.is_some_and(|is_lost| is_lost(&message)) {
             return;
         }
         let from = self.nodes[site.0].world.identity().node();
--- a/crates/mustardpin-virtual/src/fleet/run.rs
+++ b/crates/mustardpin-virtual/src/fleet/run.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     fleet::{Answer, Fleet, Held, Parcel, REPORT_PERIOD, Request, Site, Step, Waiter, caller},
-    target::{Progress, Ran},
+    target::{Progress, RunRecord},
 };
 
 impl Fleet {
@@ -23,7 +23,7 @@
             return self.deliver_later(site, Millis(0), event);
         }
         let Some(held) = self.nodes[site.0].requests.get(&ticket).cloned() else { return };
-        if self.keep_runs {
+        if self.record_runs {
             self.note_run(site, &held);
         }
         let fingerprint = Fingerprint(held.request.fingerprint);
@@ -44,7 +44,7 @@
     fn note_run(&mut self, site: Site, held: &Held) {
         let root = self.roots.get(held.root as usize);
         let key = root.and_then(|(_, _, request)| request.key.as_deref());
-        self.ran.push(Ran {
+        self.ran.push(RunRecord {
             at: self.now,
             node: self.nodes[site.0].world.identity().node(),
             path: held.request.path.clone(),
@@ -75,7 +75,7 @@
             return;
         }
         let target = &self.nodes[site.0].target;
-        if let Some(status) = target.failing {
+        if let Some(status) = target.failure_status {
             return self.end_run(site, ticket, status);
         }
         let calls = target.service.calls.len();
--- a/crates/mustardpin-virtual/src/fleet/step.rs
+++ b/crates/mustardpin-virtual/src/fleet/step.rs
@@ -94,7 +94,7 @@
             Command::CloseLink(peer) => self.drop_link(site, peer),
             Command::Store(ticket, operation) => self.call_store(site, ticket, operation),
             Command::ReplyToProposal(ticket, answer) => {
-                self.answers.insert(ticket.0, answer);
+                self.proposal_replies.insert(ticket.0, answer);
             }
             Command::Publish { load, urgent } => self.publish(site, load, urgent),
             Command::Ready(ready) => self.nodes[site.0].ready = ready,
--- a/crates/mustardpin-virtual/src/network.rs
+++ b/crates/mustardpin-virtual/src/network.rs
@@ -31,9 +31,9 @@
     /// The share of messages between worlds that get lost, from 0 to 1.
     pub loss: f64,
     /// The share of answers between nodes that get lost, from 0 to 1.
-    pub answer_loss: f64,
+    pub response_loss: f64,
     /// Messages between data centres that get lost, such as those too large for a path.
-    pub lose: Option<fn(&Message) -> bool>,
+    pub drop_filter: Option<fn(&Message) -> bool>,
     cuts: BTreeSet<(String, String)>,
     from_platform: BTreeSet<String>,
     isolated: BTreeSet<usize>,
--- a/crates/mustardpin-virtual/src/platform.rs
+++ b/crates/mustardpin-virtual/src/platform.rs
@@ -17,7 +17,7 @@
     /// It answers nothing and changes nothing.
     Down,
     /// It carries writes out, but their answers are lost.
-    LoseAnswers,
+    LoseReplies,
     /// It refuses every operation.
     Refuse(Refused),
 }
@@ -73,7 +73,7 @@
         match self.mode {
             PlatformMode::Down => return Outcome::Silence,
             PlatformMode::Refuse(refused) => return Outcome::Reply(Reply::Refused(refused)),
-            PlatformMode::Up | PlatformMode::LoseAnswers => {}
+            PlatformMode::Up | PlatformMode::LoseReplies => {}
         }
         match operation {
             Operation::Read(area) => Outcome::Reply(self.read(area)),
@@ -88,7 +88,7 @@
             Operation::Write { expected, puts, removals } => {
                 let reply = self.write(&expected, puts, removals);
                 match self.mode {
-                    PlatformMode::LoseAnswers => Outcome::Silence,
+                    PlatformMode::LoseReplies => Outcome::Silence,
                     _ => Outcome::Reply(reply),
                 }
             }
--- a/crates/mustardpin-virtual/src/target.rs
+++ b/crates/mustardpin-virtual/src/target.rs
@@ -19,7 +19,7 @@
     /// Requests each target runs at once; others wait inside the target.
     pub slots: usize,
     /// Mean service time in milliseconds, exponentially distributed.
-    pub mean: f64,
+    pub mean_ms: f64,
     /// Paths it calls, one after another, in the course of each request.
     pub calls: Vec<String>,
     /// How often it sends a failed call again.
@@ -29,7 +29,7 @@
     /// Whether it stops work that is cancelled.
     pub cancellable: bool,
     /// For this long after its start it is slower by [`COLD_FACTOR`].
-    pub cold: Millis,
+    pub cold_start: Millis,
     /// What it reports of its slots and load.
     pub reports: Reports,
 }
@@ -51,16 +51,16 @@
 
 impl Service {
     /// A service that calls no others.
-    pub fn leaf(name: &str, slots: usize, mean: f64) -> Service {
+    pub fn leaf(name: &str, slots: usize, mean_ms: f64) -> Service {
         Service {
             name: name.to_owned(),
             slots,
-            mean,
+            mean_ms,
             calls: Vec::new(),
             resends: 0,
             parallel: false,
             cancellable: true,
-            cold: Millis::ZERO,
+            cold_start: Millis::ZERO,
             reports: Reports::Prompt,
         }
     }
@@ -68,7 +68,7 @@
 
 /// A request that a target began to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
+pub struct RunRecord {
     /// When it began.
     pub at: Millis,
     /// The node in front of the target.
@@ -91,7 +91,7 @@
     /// Factor on the service time.
     pub slowdown: f64,
     /// It answers every request with this status instead of calling others.
-    pub failing: Option<u16>,
+    pub failure_status: Option<u16>,
     /// It crashes when it begins to run one of these.
     pub poison: BTreeSet<Fingerprint>,
     /// Whether its process is there.
@@ -128,7 +128,7 @@
         Target {
             service,
             slowdown: 1.0,
-            failing: None,
+            failure_status: None,
             poison: BTreeSet::new(),
             up: true,
             draining: false,
@@ -171,8 +171,8 @@
     /// Draws a service time.
     pub(crate) fn draw(&self, now: Millis, rng: &mut Pcg64Mcg) -> Millis {
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
-        let cold = if now < self.started + self.service.cold { COLD_FACTOR } else { 1.0 };
-        Millis((-uniform.ln() * self.service.mean * self.slowdown * cold).round() as u64)
+        let cold = if now < self.started + self.service.cold_start { COLD_FACTOR } else { 1.0 };
+        Millis((-uniform.ln() * self.service.mean_ms * self.slowdown * cold).round() as u64)
     }
 
     /// Forgets all work, as a process that ends does. Returns what it was at.
--- a/crates/mustardpin-virtual/tests/testsuite/bookings.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/bookings.rs
@@ -89,7 +89,7 @@
     /// What a caller received, in a few words, and how often its request ran.
     pub fn answer(&self, root: u64) -> String {
         let runs = self.runs(root);
-        let Some(received) = self.fleet.answer_to(root) else {
+        let Some(received) = self.fleet.response_to(root) else {
             return format!("nothing; {runs} runs");
         };
         let what = match &received.verdict {
@@ -115,7 +115,7 @@
             if outcome == Some(Outcome::NotRun) && runs.contains_key(&received.root) {
                 breaches.push(format!("root {} ran: {}", received.root, answer()));
             }
-            if received.is_whole() && !runs.contains_key(&received.root) {
+            if received.is_complete() && !runs.contains_key(&received.root) {
                 breaches.push(format!("root {} did not run: {}", received.root, answer()));
             }
         }
--- a/crates/mustardpin-virtual/tests/testsuite/configuration.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/configuration.rs
@@ -37,12 +37,12 @@
         accepted
     }),
     ("answers of the platform are lost", |scenario| {
-        scenario.fleet.platform.mode = PlatformMode::LoseAnswers;
+        scenario.fleet.platform.mode = PlatformMode::LoseReplies;
         scenario.withdraw(Site(0));
         scenario.load_until_accepted()
     }),
     ("answer lost and platform down for a second", |scenario| {
-        scenario.fleet.platform.mode = PlatformMode::LoseAnswers;
+        scenario.fleet.platform.mode = PlatformMode::LoseReplies;
         scenario.withdraw(Site(0));
         let accepted = scenario.load_until_accepted();
         scenario.fleet.platform.mode = PlatformMode::Down;
@@ -92,20 +92,20 @@
     }),
     ("deltas lost on the way to a data centre without the platform", |scenario| {
         scenario.fleet.network.cut_platform("west");
-        scenario.fleet.network.lose = Some(is_delta);
+        scenario.fleet.network.drop_filter = Some(is_delta);
         scenario.withdraw(Site(0));
         let accepted = scenario.load_until_accepted();
         scenario.load_for(Millis::from_secs(8));
-        scenario.fleet.network.lose = None;
+        scenario.fleet.network.drop_filter = None;
         accepted
     }),
     ("the delta lost, and the next one not", |scenario| {
         scenario.fleet.network.cut_platform("west");
-        scenario.fleet.network.lose = Some(is_delta);
+        scenario.fleet.network.drop_filter = Some(is_delta);
         scenario.withdraw(Site(0));
         let accepted = scenario.load_until_accepted();
         scenario.load_for(Millis(20));
-        scenario.fleet.network.lose = None;
+        scenario.fleet.network.drop_filter = None;
         let expected = scenario.revision(Site(0));
         scenario.propose(Site(0), 2, "next", expected, vec![team("third")]);
         accepted
@@ -165,7 +165,7 @@
             let refused = refused_unknowing(&scenario, recent);
             assert_eq!(refused, 0, "{name}, seed {seed}: the other key refused at the end");
             if seed == 0 {
-                let answer = scenario.fleet.answers.get(&1);
+                let answer = scenario.fleet.proposal_replies.get(&1);
                 let answer =
                     answer.map_or("none", |answer| if answer.is_ok() { "ok" } else { "error" });
                 writeln!(report, "{name}: answer {answer}, last run {} after", last - accepted)
@@ -228,7 +228,7 @@
 /// Two operators change the same at the same moment through nodes far apart.
 #[test]
 fn of_two_operators_racing_one_learns_what_the_other_changed() {
-    for mode in [PlatformMode::Up, PlatformMode::LoseAnswers] {
+    for mode in [PlatformMode::Up, PlatformMode::LoseReplies] {
         for_seeds(|seed| {
             let mut scenario = Scenario::start(seed, CutOffPolicy::Refuse);
             scenario.fleet.platform.mode = mode;
@@ -237,7 +237,7 @@
             scenario.fleet.run_for(Millis(seed % 7));
             scenario.propose(Site(4), 2, "two", expected, vec![team("garage"), team("third")]);
             scenario.fleet.run_for(Millis::from_secs(4));
-            let answers: Vec<_> = scenario.fleet.answers.values().cloned().collect();
+            let answers: Vec<_> = scenario.fleet.proposal_replies.values().cloned().collect();
             let actual = scenario.revision(Site(8));
             let is_first = answers[0].is_ok();
             let won =
@@ -264,7 +264,7 @@
         let mut scenario = Scenario::start(1, CutOffPolicy::Refuse);
         let expected = scenario.revision(Site(0));
         if takes_effect {
-            scenario.fleet.platform.mode = PlatformMode::LoseAnswers;
+            scenario.fleet.platform.mode = PlatformMode::LoseReplies;
             scenario.withdraw(Site(0));
             scenario.load_until_accepted();
         }
@@ -280,7 +280,7 @@
         scenario.fleet.run_for(Millis::from_secs(2));
         let written = scenario.fleet.platform.version().0 - revision.0;
         writeln!(report, "{name}: {written} written on asking again").unwrap();
-        for (ticket, answer) in &scenario.fleet.answers {
+        for (ticket, answer) in &scenario.fleet.proposal_replies {
             writeln!(report, "  {ticket}: {answer:?}").unwrap();
         }
     }
@@ -332,7 +332,7 @@
         let proposal = Proposal { id, expected: before, rows, removals };
         scenario.fleet.propose(Site(0), ticket as u64, proposal);
         scenario.fleet.run_for(Millis(500));
-        match &scenario.fleet.answers[&(ticket as u64)] {
+        match &scenario.fleet.proposal_replies[&(ticket as u64)] {
             Ok(revision) => writeln!(report, "accepted at {revision}").unwrap(),
             Err(error) => writeln!(report, "{error}").unwrap(),
         }
@@ -355,6 +355,6 @@
     let expected = scenario.revision(Site(3));
     scenario.propose(Site(3), 2, "again", expected, vec![key(WITHDRAWN, "garage", false)]);
     scenario.fleet.run_for(Millis(500));
-    let answer = scenario.fleet.answers[&2].as_ref().unwrap_err().to_string();
+    let answer = scenario.fleet.proposal_replies[&2].as_ref().unwrap_err().to_string();
     insta::assert_snapshot!(answer, @"key/garage-1: was withdrawn for good: issue a new key");
 }
--- a/crates/mustardpin-virtual/tests/testsuite/drain.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/drain.rs
@@ -32,7 +32,7 @@
 /// that a target had begun.
 fn wronged(scenario: &Scenario) -> Vec<String> {
     let ran: BTreeSet<u64> = scenario.fleet.ran.iter().map(|ran| ran.root).collect();
-    let answers = (0..scenario.sent()).map(|root| (root, scenario.fleet.answer_to(root)));
+    let answers = (0..scenario.sent()).map(|root| (root, scenario.fleet.response_to(root)));
     let wrong = answers.filter_map(|(root, answer)| match answer {
         None => Some(format!("{root}: no answer")),
         Some(received) if received.verdict.is_none() => Some(format!("{root}: broken")),
--- a/crates/mustardpin-virtual/tests/testsuite/faults.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/faults.rs
@@ -52,7 +52,7 @@
             4 => fleet.network.cut_platform(data_centre),
             5 | 6 => fleet.network.heal(),
             7 => fleet.platform.mode = PlatformMode::Down,
-            8 => fleet.platform.mode = PlatformMode::LoseAnswers,
+            8 => fleet.platform.mode = PlatformMode::LoseReplies,
             9 | 10 => fleet.platform.mode = PlatformMode::Up,
             11 => fleet.isolate(site),
             12 if !self.is_frozen(site) => {
--- a/crates/mustardpin-virtual/tests/testsuite/freshness.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/freshness.rs
@@ -114,7 +114,7 @@
         scenario.load_for(Millis::from_secs(60));
         scenario.fleet.run_for(Millis::from_secs(5));
         let received = scenario.fleet.received.iter().filter(|received| received.sent >= start);
-        let refused = received.filter(|received| !received.is_whole()).count();
+        let refused = received.filter(|received| !received.is_complete()).count();
         assert_eq!(refused, 0, "seed {seed}");
     });
 }
@@ -133,7 +133,7 @@
         let back = scenario.fleet.now;
         scenario.load_for(Millis::from_secs(5));
         let received = scenario.fleet.received.iter().filter(|received| received.sent >= start);
-        for received in received.filter(|received| !received.is_whole()) {
+        for received in received.filter(|received| !received.is_complete()) {
             assert_ne!(received.root % 3, 2, "seed {seed}: a request without a key was refused");
             assert!(received.is_not_run(), "seed {seed}: {received:?}");
             assert!(received.sent < back, "seed {seed}: refused {}", received.sent - back);
--- a/crates/mustardpin-virtual/tests/testsuite/once.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/once.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_lost_answer_is_no_reason_to_run_again() {
     let mut bookings = Bookings::new(1, 2);
-    bookings.fleet.network.answer_loss = 1.0;
+    bookings.fleet.network.response_loss = 1.0;
     let root = bookings.book(bookings.fronts[0], "k1");
     bookings.fleet.run_for(Millis(500));
     assert_snapshot!(answers(&bookings, &[root]));
--- a/crates/mustardpin-virtual/tests/testsuite/overload.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/overload.rs
@@ -30,7 +30,7 @@
 
 fn run(scenario: Scenario, seed: u64) -> (Deployment, Outcome, Report) {
     let deployment = Deployment::association();
-    let outcome = experiment::run(&deployment, &Policy::whole(), scenario, seed);
+    let outcome = experiment::run(&deployment, &Policy::full(), scenario, seed);
     (deployment, outcome, Report { seed, lines: String::new() })
 }
 
@@ -41,14 +41,14 @@
     let mut lines = String::new();
     for seed in support::seeds(1) {
         let (deployment, outcome, mut report) = run(Scenario::Slow, seed + 1);
-        let goodput = outcome.goodput_in_cause();
+        let goodput = outcome.goodput_during_overload();
         let share = goodput / (deployment.deep_capacity() / SLOWDOWN);
         report.check(
             "A: goodput at least 90% of what the slow service can do",
             share >= 0.9,
             share,
         );
-        let back = outcome.recovery().unwrap_or(Millis::MAX);
+        let back = outcome.recovery_time().unwrap_or(Millis::MAX);
         report.check("A: back within 5 s", back <= Millis::from_secs(5), back.0 as f64);
         lines = report.lines;
     }
@@ -60,9 +60,9 @@
     let mut lines = String::new();
     for seed in support::seeds(1) {
         let (_, outcome, mut report) = run(Scenario::RatedFlood, seed + 1);
-        let worst = outcome.worst_team_but(0);
+        let worst = outcome.worst_team_except(0);
         report.check("B: every other team gets at least 99%", worst >= 0.99, worst);
-        let refused = outcome.refused_but(0);
+        let refused = outcome.refused_except(0);
         report.check("B: less than 0.1% of the others refused", refused < 0.001, refused);
         lines = report.lines;
     }
@@ -87,9 +87,9 @@
 fn misleading_reports_cost_little() {
     let mut lines = String::new();
     for seed in support::seeds(1) {
-        let yardstick = run(Scenario::TrueReports, seed + 1).1.goodput_in_cause();
+        let yardstick = run(Scenario::TrueReports, seed + 1).1.goodput_during_overload();
         let (_, outcome, mut report) = run(Scenario::FalseReports, seed + 1);
-        let share = outcome.goodput_in_cause() / yardstick;
+        let share = outcome.goodput_during_overload() / yardstick;
         report.check("D: goodput at least 95% of that with true reports", share >= 0.95, share);
         lines = report.lines;
     }
@@ -127,7 +127,8 @@
             // The share has settled by then.
             if probe >= 30 {
                 for (kind, root) in roots {
-                    let is_whole = fleet.answer_to(root).is_some_and(|answer| answer.is_whole());
+                    let is_whole =
+                        fleet.response_to(root).is_some_and(|answer| answer.is_complete());
                     whole[kind] += usize::from(is_whole);
                 }
             }
@@ -177,5 +178,5 @@
     let begin = std::time::Instant::now();
     fleet.run_for(Millis::from_secs(1));
     assert!(begin.elapsed() < MOST, "{:?}", begin.elapsed());
-    assert!(roots.iter().all(|&root| fleet.answer_to(root).is_some()));
+    assert!(roots.iter().all(|&root| fleet.response_to(root).is_some()));
 }
--- a/crates/mustardpin-virtual/tests/testsuite/path.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/path.rs
@@ -18,7 +18,7 @@
     fleet.run_for(Millis::from_secs(5));
     let root = fleet.send(search, Request::get("/search/slots", "garage-1.secret"));
     fleet.run_for(Millis::from_secs(1));
-    assert!(fleet.answer_to(root).is_some_and(|received| received.is_whole()));
+    assert!(fleet.response_to(root).is_some_and(|received| received.is_complete()));
     let paths: Vec<&str> = fleet.ran.iter().map(|ran| ran.path.as_str()).collect();
     assert_eq!(paths, ["/search/slots", "/ledger"]);
 }
--- a/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
@@ -84,8 +84,8 @@
             let site = sites[fingerprint as usize % sites.len()];
             let root = bookings.fleet.send(site, look("/look/slots", fingerprint));
             bookings.fleet.run_for(Millis(500));
-            let answer = bookings.fleet.answer_to(root);
-            let whole = answer.is_some_and(|received| received.is_whole());
+            let answer = bookings.fleet.response_to(root);
+            let whole = answer.is_some_and(|received| received.is_complete());
             assert!(whole, "seed {seed}, request {fingerprint}: {answer:?}");
         }
     }
@@ -95,7 +95,7 @@
 fn a_quarantined_request_is_refused_everywhere_though_the_node_that_tried_it_is_gone() {
     let mut bookings = poisoned(1);
     storm(&mut bookings);
-    let poisonous = |ran: &&mustardpin_virtual::Ran| ran.fingerprint == Fingerprint(POISON);
+    let poisonous = |ran: &&mustardpin_virtual::RunRecord| ran.fingerprint == Fingerprint(POISON);
     let last = bookings.fleet.ran.iter().rfind(poisonous).expect("it crashed a target").node;
     let mut sites: Vec<Site> = bookings.fleet.sites().collect();
     let last = sites
--- a/crates/mustardpin-virtual/tests/testsuite/retry.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/retry.rs
@@ -77,9 +77,9 @@
         send(&mut fleet, number);
     }
     fleet.run_for(Millis::from_secs(1));
-    let whole = fleet.received.iter().filter(|received| received.is_whole()).count();
+    let whole = fleet.received.iter().filter(|received| received.is_complete()).count();
     assert_eq!(whole as u64, SERVED, "seed {seed}: the chain works before it fails");
-    fleet.target(Site(DEPTH - 1)).failing = Some(500);
+    fleet.target(Site(DEPTH - 1)).failure_status = Some(500);
     let roots: Vec<u64> = (0..FAILED).map(|number| send(&mut fleet, SERVED + number)).collect();
     fleet.run_for(Millis::from_secs(20));
     let deepest = format!("/level-{:02}", DEPTH - 1);
@@ -123,7 +123,7 @@
     fleet.run_for(Millis::from_secs(3));
     fleet.send(front, Request::get("/front", "garage-1.secret"));
     fleet.run_for(Millis::from_secs(1));
-    fleet.target(back).failing = Some(500);
+    fleet.target(back).failure_status = Some(500);
     let request = Request { fingerprint: 7, ..Request::get("/front", "garage-1.secret") };
     let root = fleet.send(front, request);
     fleet.run_for(Millis::from_secs(2));
--- a/crates/mustardpin-virtual/tests/testsuite/routing.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/routing.rs
@@ -42,7 +42,7 @@
 }
 
 fn refused(fleet: &Fleet, roots: &[u64]) -> usize {
-    let is_whole = |root: &u64| fleet.answer_to(*root).is_some_and(|answer| answer.is_whole());
+    let is_whole = |root: &u64| fleet.response_to(*root).is_some_and(|answer| answer.is_complete());
     roots.iter().filter(|root| !is_whole(root)).count()
 }
 
--- a/crates/mustardpin-virtual/tests/testsuite/schedule.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/schedule.rs
@@ -49,7 +49,7 @@
     let mut schedule = Schedule { bookings, failures, rng, keys: 0, dead, frozen, healed_at };
     if failures.losses {
         schedule.bookings.fleet.network.loss = 0.05;
-        schedule.bookings.fleet.network.answer_loss = 0.05;
+        schedule.bookings.fleet.network.response_loss = 0.05;
         schedule.bookings.fleet.network.jitter = Millis(30);
     }
     for _ in 0..STEPS {
@@ -155,7 +155,7 @@
         let bookings = &mut self.bookings;
         bookings.fleet.network.heal();
         bookings.fleet.network.loss = 0.0;
-        bookings.fleet.network.answer_loss = 0.0;
+        bookings.fleet.network.response_loss = 0.0;
         for (site, _) in self.frozen.drain(..) {
             bookings.fleet.resume(site);
         }
--- a/crates/mustardpin-virtual/tests/testsuite/shedding.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/shedding.rs
@@ -92,7 +92,8 @@
         fleet.run_for(Millis(1));
     }
     fleet.run_for(Millis::from_secs(3));
-    let is_whole = |root: &&u64| fleet.answer_to(**root).is_some_and(|answer| answer.is_whole());
+    let is_whole =
+        |root: &&u64| fleet.response_to(**root).is_some_and(|answer| answer.is_complete());
     sent.iter()
         .map(|roots| roots.iter().filter(is_whole).count() as f64 / roots.len() as f64)
         .collect()
