--- a/crates/mustardpin-virtual/examples/experiments.rs
+++ b/crates/mustardpin-virtual/examples/experiments.rs
@@ -1,7 +1,7 @@
 //! Prints the tables of the overload experiments.
 //!
 //! `cargo run --release -p mustardpin-virtual --example experiments [SCENARIO...]`; the seeds are
-//! 1, 2 and 3, or as many as the environment variable `MUSTARDPIN_SEEDS` says.
+//! 1 to 3, or 1 to the value of the environment variable `MUSTARDPIN_SEEDS`.
 //! `MUSTARDPIN_POLICIES` restricts the rows to those whose names contain its value, and
 //! `MUSTARDPIN_COUNTERS` prints the counters of refusals and retries below each row.
 
@@ -31,12 +31,12 @@
 ];
 
 fn main() {
-    let wanted: Vec<String> = env::args().skip(1).collect();
+    let selected: Vec<String> = env::args().skip(1).collect();
     let seeds: u64 =
         env::var("MUSTARDPIN_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(3);
     let deployments = [Deployment::association(), Deployment::nestwell()];
     for (name, scenario) in SCENARIOS {
-        if !wanted.is_empty() && !wanted.iter().any(|other| other == name) {
+        if !selected.is_empty() && !selected.iter().any(|other| other == name) {
             continue;
         }
         for deployment in &deployments {
@@ -50,8 +50,8 @@
     let mut policies = vec![Policy::full()];
     policies.extend(Policy::baselines());
     policies.extend(Policy::ablations());
-    if let Ok(wanted) = env::var("MUSTARDPIN_POLICIES") {
-        policies.retain(|policy| policy.name.contains(&wanted));
+    if let Ok(selected) = env::var("MUSTARDPIN_POLICIES") {
+        policies.retain(|policy| policy.name.contains(&selected));
     }
     let outcomes = run_all(deployment, &policies, scenario, seeds);
     println!(
@@ -62,7 +62,7 @@
     for (index, policy) in policies.iter().enumerate() {
         let outcomes: Vec<&Outcome> =
             (0..seeds).filter_map(|seed| outcomes.get(&(index, seed))).collect();
-        println!("| {} | {} |", policy.name, row(&outcomes, deployment));
+        println!("| {} | {} |", policy.name, summary(&outcomes, deployment));
         if env::var("MUSTARDPIN_COUNTERS").is_ok() {
             for outcome in outcomes {
                 println!("  {:?} {:?}", outcome.refusals, outcome.retries);
@@ -71,7 +71,7 @@
     }
 }
 
-/// Runs every policy with every seed, a few at a time.
+/// Runs every policy with every seed on `THREADS` threads.
 fn run_all(
     deployment: &Deployment,
     policies: &[Policy],
@@ -97,28 +97,28 @@
     outcomes.into_inner().unwrap_or_default()
 }
 
-/// The worst of all seeds in each column.
-fn row(outcomes: &[&Outcome], deployment: &Deployment) -> String {
-    let least = |figure: &dyn Fn(&Outcome) -> f64| {
+/// Returns the cells of a row, each with the worst figure of all seeds.
+fn summary(outcomes: &[&Outcome], deployment: &Deployment) -> String {
+    let lowest = |figure: &dyn Fn(&Outcome) -> f64| {
         outcomes.iter().map(|outcome| figure(outcome)).fold(f64::INFINITY, f64::min)
     };
-    let back = outcomes
+    let recovery = outcomes
         .iter()
         .map(|outcome| outcome.recovery_time())
-        .max_by_key(|back| back.map_or(u64::MAX, |back| back.0));
-    let back = back.flatten().map_or("never".to_owned(), |back| back.0.to_string());
+        .max_by_key(|recovery| recovery.map_or(u64::MAX, |recovery| recovery.0));
+    let recovery = recovery.flatten().map_or("never".to_owned(), |recovery| recovery.0.to_string());
     let mut cells = vec![
-        format!("{:.0}", least(&Outcome::goodput_during_overload)),
-        format!("{:.0}", least(&Outcome::goodput_at_rest)),
-        back,
+        format!("{:.0}", lowest(&Outcome::goodput_during_overload)),
+        format!("{:.0}", lowest(&Outcome::goodput_at_rest)),
+        recovery,
     ];
     for importance in IMPORTANCES {
-        cells.push(format!("{:.4}", least(&|outcome| outcome.served_by_importance(importance))));
+        cells.push(format!("{:.4}", lowest(&|outcome| outcome.served_by_importance(importance))));
     }
-    cells.push(format!("{:.4}", least(&|outcome| outcome.worst_team_except(0))));
-    cells.push(format!("{:.4}", -least(&|outcome| -outcome.refused_except(0))));
+    cells.push(format!("{:.4}", lowest(&|outcome| outcome.worst_team_except(0))));
+    cells.push(format!("{:.4}", -lowest(&|outcome| -outcome.refused_except(0))));
     let fair = |outcome: &Outcome| outcome.worst_fair_share(&deployment.teams);
-    cells.push(format!("{:.2}", least(&fair)));
+    cells.push(format!("{:.2}", lowest(&fair)));
     let latency = outcomes.iter().map(|outcome| outcome.latency(99.0).0).max().unwrap_or(0);
     cells.push(latency.to_string());
     cells.join(" | ")
--- a/crates/mustardpin-virtual/src/experiment.rs
+++ b/crates/mustardpin-virtual/src/experiment.rs
@@ -1,6 +1,6 @@
-//! Experiments on overload: a deployment, a policy and a cause, driven over virtual time.
+//! Experiments on overload: a deployment, a policy and a scenario, driven over virtual time.
 //!
-//! The same seed gives the same figures to the digit.
+//! The same seed gives exactly the same figures.
 
 mod deployment;
 mod policy;
@@ -23,13 +23,13 @@
     target::{Reports, Service},
 };
 
-/// When the cause of the overload begins.
+/// When the cause of the overload starts, counted from the start of the experiment.
 pub const OVERLOAD_START: Millis = Millis::from_secs(10);
-/// When it ends.
+/// When the cause of the overload ends.
 pub const OVERLOAD_END: Millis = Millis::from_secs(40);
 /// When the experiment ends.
 pub const END: Millis = Millis::from_secs(60);
-/// The time callers wait for an answer.
+/// The timeout that callers send with their requests.
 pub const TIMEOUT: Millis = Millis::from_secs(2);
 
 /// Runs one experiment.
@@ -73,17 +73,17 @@
     }
 
     fn run(&mut self) {
-        /// The fleet finds its peers and configuration before the first request.
+        /// The time for nodes to find peers and configuration before the first request.
         const WARM_UP: Millis = Millis::from_secs(3);
 
         self.fleet.run_until(WARM_UP);
         while self.fleet.now < WARM_UP + END {
             let now = self.fleet.now - WARM_UP;
             if now == OVERLOAD_START {
-                self.begin_cause();
+                self.start_overload();
             }
             if now == OVERLOAD_END {
-                self.end_cause();
+                self.end_overload();
             }
             self.send(now);
             self.fleet.run_for(Millis(1));
@@ -94,12 +94,12 @@
     fn deep_sites(&self) -> Vec<Site> {
         let targets = self.deployment.targets().enumerate();
         targets
-            .filter(|(_, (_, service))| service.name == self.deployment.deep)
+            .filter(|(_, (_, service))| service.name == self.deployment.deep_service)
             .map(|(index, _)| Site(index))
             .collect()
     }
 
-    fn begin_cause(&mut self) {
+    fn start_overload(&mut self) {
         let sites = self.deep_sites();
         if self.scenario.slows() {
             for &site in &sites {
@@ -111,12 +111,12 @@
                 self.fleet.crash_target(site);
             }
         }
-        if self.scenario.platform_out() {
+        if self.scenario.stops_platform() {
             self.fleet.platform.mode = PlatformMode::Down;
         }
     }
 
-    fn end_cause(&mut self) {
+    fn end_overload(&mut self) {
         let sites = self.deep_sites();
         for &site in &sites {
             self.fleet.target(site).slowdown = 1.0;
@@ -130,11 +130,11 @@
 
     /// Sends the requests of one millisecond.
     fn send(&mut self, now: Millis) {
-        let is_cause = now >= OVERLOAD_START && now < OVERLOAD_END;
+        let is_overloaded = now >= OVERLOAD_START && now < OVERLOAD_END;
         let deployment = self.deployment;
         for demand in &deployment.demand {
             for (team, share) in deployment.team_shares() {
-                let factor = if is_cause { self.scenario.demand_factor(team) } else { 1.0 };
+                let factor = if is_overloaded { self.scenario.demand_factor(team) } else { 1.0 };
                 let rate = demand.rate * share * factor / 1_000.0;
                 for _ in 0..poisson(&mut self.rng, rate) {
                     self.send_one(now, team, demand);
@@ -170,7 +170,7 @@
     count
 }
 
-/// The importances that the experiments use, the one refused last at the front.
+/// The importances that the experiments use, from the most to the least important.
 pub const IMPORTANCES: [Importance; 4] =
     [Importance::CRITICAL, Importance::HIGH, Importance::NORMAL, Importance::LOW];
 
--- a/crates/mustardpin-virtual/src/experiment/deployment.rs
+++ b/crates/mustardpin-virtual/src/experiment/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments, with a fifth of their slots.
+//! The two deployments of the experiments, scaled down to a fifth of their slots.
 
 use mustardpin_world::{
     config::{self, CutOffPolicy, Importance, Key, Route, Row, Team},
@@ -6,69 +6,74 @@
 };
 
 use crate::{
-    experiment::{END, TIMEOUT, scenario::REST},
+    experiment::{END, TIMEOUT, scenario::BASE_LOAD},
     fleet::Fleet,
     target::Service,
 };
 
-/// Requests of one kind.
+/// The demand for one route.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Their path; the route has the same name.
+    /// The path of the requests; the route is named after it.
     pub path: &'static str,
-    /// How much they matter.
+    /// The importance of the route.
     pub importance: Importance,
-    /// Requests a second at rest, of all teams together.
+    /// Requests per second of all teams together before the overload.
     pub rate: f64,
-    /// Whether they need the deep service.
+    /// Whether the requests need the deep service, directly or through a call.
     pub is_deep: bool,
 }
 
 /// Services, routes, teams and demand.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// Its name.
+    /// The name in the printed tables.
     pub name: &'static str,
-    /// The service that the chains end in.
-    pub deep: &'static str,
-    /// Services and how many targets each has.
+    /// The name of the service at the end of the call chains.
+    pub deep_service: &'static str,
+    /// The services and the number of targets of each.
     pub services: Vec<(Service, usize)>,
-    /// What callers send.
+    /// The demand by route.
     pub demand: Vec<Demand>,
-    /// The paths that only targets call, and the services behind them.
+    /// The paths that only targets call, and the services that run them.
     pub internal: Vec<(&'static str, &'static str)>,
-    /// The weights of the teams.
+    /// The weights of the teams; their shares of the demand are in the same proportion.
     pub teams: Vec<u32>,
 }
 
 const DATA_CENTRES: [&str; 3] = ["one", "two", "three"];
-/// Far above what any team sends.
+/// A rate per second far above the demand of any team.
 const NO_LIMIT: u32 = 1_000_000;
-/// Eight teams, a few of them large.
+/// The weights of eight teams, a few of them large.
 const TEAMS: [u32; 8] = [30, 25, 15, 10, 8, 6, 4, 2];
 
-/// The text of a team's key.
+/// Returns the key of a team, `ID.SECRET`.
 pub(super) fn key(team: usize) -> String {
     format!("team-{team}.secret")
 }
 
-fn calling(name: &str, slots: usize, mean_ms: f64, path: &str) -> Service {
+fn calling_service(name: &str, slots: usize, mean_ms: f64, path: &str) -> Service {
     Service { calls: vec![path.to_owned()], ..Service::leaf(name, slots, mean_ms) }
 }
 
-/// Three kinds of request that need the deep service, and one that does not.
-fn demand(paths: [&'static str; 4], deep: f64, other: f64) -> Vec<Demand> {
-    let [important, second, third, last] = paths;
+/// Returns the demand for three routes that need the deep service, and for one that doesn't.
+fn demand(paths: [&'static str; 4], deep_rate: f64, other_rate: f64) -> Vec<Demand> {
+    let [critical, high, normal, low] = paths;
     vec![
         Demand {
-            path: important,
+            path: critical,
             importance: Importance::CRITICAL,
-            rate: 0.15 * deep,
+            rate: 0.15 * deep_rate,
             is_deep: true,
         },
-        Demand { path: second, importance: Importance::HIGH, rate: 0.25 * deep, is_deep: true },
-        Demand { path: third, importance: Importance::NORMAL, rate: 0.6 * deep, is_deep: true },
-        Demand { path: last, importance: Importance::LOW, rate: other, is_deep: false },
+        Demand { path: high, importance: Importance::HIGH, rate: 0.25 * deep_rate, is_deep: true },
+        Demand {
+            path: normal,
+            importance: Importance::NORMAL,
+            rate: 0.6 * deep_rate,
+            is_deep: true,
+        },
+        Demand { path: low, importance: Importance::LOW, rate: other_rate, is_deep: false },
     ]
 }
 
@@ -78,14 +83,18 @@
         let capacity = 4.0 * 20.0 / 0.050;
         Deployment {
             name: "Association",
-            deep: "ledger",
+            deep_service: "ledger",
             services: vec![
-                (calling("search", 50, 10.0, "/ledger"), 4),
-                (calling("counter", 30, 10.0, "/ledger"), 3),
+                (calling_service("search", 50, 10.0, "/ledger"), 4),
+                (calling_service("counter", 30, 10.0, "/ledger"), 3),
                 (Service::leaf("ledger", 20, 50.0), 4),
                 (Service::leaf("archive", 10, 50.0), 3),
             ],
-            demand: demand(["/book", "/lookup", "/search", "/certificate"], capacity * REST, 200.0),
+            demand: demand(
+                ["/book", "/lookup", "/search", "/certificate"],
+                capacity * BASE_LOAD,
+                200.0,
+            ),
             internal: vec![("/ledger", "ledger")],
             teams: TEAMS.to_vec(),
         }
@@ -96,29 +105,33 @@
         let capacity = 4.0 * 20.0 / 0.060;
         Deployment {
             name: "Nestwell",
-            deep: "matching",
+            deep_service: "matching",
             services: vec![
-                (calling("profiles", 60, 15.0, "/matching"), 4),
-                (calling("bookings", 40, 20.0, "/matching"), 3),
+                (calling_service("profiles", 60, 15.0, "/matching"), 4),
+                (calling_service("bookings", 40, 20.0, "/matching"), 3),
                 (Service::leaf("matching", 20, 60.0), 4),
                 (Service::leaf("documents", 15, 80.0), 3),
             ],
-            demand: demand(["/confirm", "/booking", "/profile", "/pack"], capacity * REST, 150.0),
+            demand: demand(
+                ["/confirm", "/booking", "/profile", "/pack"],
+                capacity * BASE_LOAD,
+                150.0,
+            ),
             internal: vec![("/matching", "matching")],
             teams: TEAMS.to_vec(),
         }
     }
 
-    /// Requests a second that the deep service can run when nothing is wrong with it.
+    /// Returns the requests per second that the deep service can run while it is healthy.
     pub fn deep_capacity(&self) -> f64 {
         self.services
             .iter()
-            .filter(|(service, _)| service.name == self.deep)
+            .filter(|(service, _)| service.name == self.deep_service)
             .map(|(service, count)| (service.slots * count) as f64 / (service.mean_ms / 1_000.0))
             .sum()
     }
 
-    /// The services of all targets, with the index of each among those of its service.
+    /// Returns an entry per target: its index within its service, and the service.
     pub(super) fn targets(&self) -> impl Iterator<Item = (usize, &Service)> {
         self.services
             .iter()
@@ -129,7 +142,7 @@
         DATA_CENTRES[index % DATA_CENTRES.len()]
     }
 
-    /// The teams and their parts of the demand.
+    /// Returns the index of each team and its share of the demand, from 0 to 1.
     pub fn team_shares(&self) -> impl Iterator<Item = (usize, f64)> {
         let sum: u32 = self.teams.iter().sum();
         self.teams
@@ -138,11 +151,11 @@
             .map(move |(team, &weight)| (team, f64::from(weight) / f64::from(sum)))
     }
 
-    /// The service that runs a path.
+    /// Returns the service that runs the demand of an index.
     fn service_of(&self, index: usize) -> &str {
-        // Bookings go to the deep service itself; the others to the services in order.
+        // The first demand goes directly to the deep service; the others call it, or don't need it.
         match index {
-            0 => self.deep,
+            0 => self.deep_service,
             1 => &self.services[1].0.name,
             2 => &self.services[0].0.name,
             _ => &self.services[3].0.name,
--- a/crates/mustardpin-virtual/src/experiment/policy.rs
+++ b/crates/mustardpin-virtual/src/experiment/policy.rs
@@ -1,27 +1,27 @@
-//! The policies compared: the whole, the whole without one part, and the usual ways.
+//! The policies that are compared: all mechanisms, all but one mechanism, and common baselines.
 
 use mustardpin_world::{
     Options,
     options::{Discipline, LimitAlgorithm, RetryPolicy},
 };
 
-/// How callers and targets behave.
+/// How callers and targets retry and cancel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Callers {
-    /// How often callers, and targets at every hop, send a failed request again.
+    /// How many times callers, and targets at every hop, send a failed request again.
     pub resends: u32,
-    /// Whether targets stop work that is cancelled.
+    /// Whether targets stop running a request that is cancelled.
     pub cancellable: bool,
 }
 
-/// Options with a name for the table.
+/// A named combination of options.
 #[derive(Debug, Clone)]
 pub struct Policy {
-    /// The name of the row.
+    /// The name in the first column of the printed table.
     pub name: &'static str,
-    /// What the nodes do.
+    /// The options of all nodes.
     pub options: Options,
-    /// What callers and targets do.
+    /// The behaviour of callers and targets.
     pub callers: Callers,
 }
 
@@ -33,7 +33,7 @@
     Policy { name, options, callers: CALLERS }
 }
 
-/// A node that only passes requests on.
+/// Disables all mechanisms: a node only forwards requests.
 fn uncontrolled(options: &mut Options) {
     options.limit.algorithm = LimitAlgorithm::Unlimited;
     options.queueing.discipline = Discipline::Fifo;
@@ -43,7 +43,7 @@
     options.retry.policy = RetryPolicy::Unbounded;
 }
 
-/// A queue with a fixed limit in front of the target, and nothing else.
+/// Leaves only a queue with a fixed limit in front of the target.
 fn fixed_queue(options: &mut Options, discipline: Discipline) {
     uncontrolled(options);
     options.limit.algorithm = LimitAlgorithm::Fixed(Policy::FIXED_LIMIT);
@@ -54,12 +54,12 @@
     /// The fixed limit of the baselines: the slots of the deep targets in both deployments.
     pub const FIXED_LIMIT: u32 = 20;
 
-    /// Everything as shipped.
+    /// Returns the policy with the default options.
     pub fn full() -> Policy {
         variant("whole", |_| {})
     }
 
-    /// The usual ways.
+    /// Returns the common approaches that the full policy is compared with.
     pub fn baselines() -> Vec<Policy> {
         let mut none = variant("no control", uncontrolled);
         none.callers.cancellable = false;
@@ -74,7 +74,7 @@
         ]
     }
 
-    /// The whole without one part at a time.
+    /// Returns the full policy with one mechanism disabled at a time.
     pub fn ablations() -> Vec<Policy> {
         vec![
             variant("without limit", |options| {
