--- a/crates/mustardpin-virtual/src/fleet.rs
+++ b/crates/mustardpin-virtual/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: worlds, the events under way between them, and the history.
+//! The fleet: worlds, the events in transit between them, and the history.
 
 mod call;
 mod caller;
@@ -26,77 +26,79 @@
 use crate::{
     fleet::link::Link,
     network::Network,
-    platform::{Platform, Waiting},
+    platform::{LongPoll, Platform},
     target::{RunRecord, Service, Target},
 };
 
 pub use self::caller::{Received, Request};
 
-/// Names a place for a node: its index in the order of addition. A restarted node keeps it.
+/// Identifies a node by its index in the order of addition. A restarted node keeps it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Site(pub usize);
 
-/// Who waits for the answer to an arrived request.
+/// The sender of a request, which waits for the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Waiter {
+enum Requester {
     /// The caller of a root request.
     Caller { root: u64 },
-    /// A node that passed it on.
-    Node { site: Site, life: u32, ticket: Ticket },
-    /// A target that made a call in the course of another.
-    Target { site: Site, life: u32, parent: Ticket, run: u64, index: usize },
+    /// A node that forwarded the request.
+    Node { site: Site, epoch: u32, ticket: Ticket },
+    /// A target that makes a call while it runs another request.
+    Target { site: Site, epoch: u32, parent: Ticket, run: u64, index: usize },
 }
 
-/// The answer of a target.
+/// The response of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Answer {
+struct Response {
     status: u16,
     body: Vec<u8>,
 }
 
-/// A request on its way, with what the history needs to know of it.
+/// A request in transit to a node, with the number of the root request it belongs to.
 #[derive(Debug, Clone)]
-struct Parcel {
+struct InboundRequest {
     request: Request,
     origin: Origin,
-    waiter: Waiter,
+    requester: Requester,
     root: u64,
 }
 
-/// A request that a node has.
+/// A request in progress at a node.
 #[derive(Debug, Clone)]
-struct Held {
-    waiter: Waiter,
+struct Exchange {
+    requester: Requester,
     root: u64,
     request: Request,
-    /// The answer of a target that waits for the node's word.
-    answer: Option<Answer>,
+    /// A response that is kept until the world decides the verdict.
+    response: Option<Response>,
 }
 
-/// What a node says of a request to who waits for it.
+/// The final response of a node to the sender of a request.
 #[derive(Debug, Clone)]
-enum Word {
-    Answered(Answer),
+enum FinalResponse {
+    Answered(Response),
     Refused(Verdict),
 }
 
+/// An action that is due at a point of virtual time. A step with an `epoch` applies only to the
+/// process of that epoch.
 #[derive(Debug)]
 enum Step {
-    Tick { life: u32 },
-    Deliver { life: u32, event: Event },
-    Arrive { parcel: Parcel },
-    Pass { life: u32, to: NodeId, parcel: Parcel },
-    Return { to: Site, life: u32, ticket: Ticket, word: Word, retries: u32 },
-    Begin { life: u32, run: request::Run },
-    ServiceOver { life: u32, ticket: Ticket, run: u64 },
-    ChildOver { life: u32, parent: Ticket, run: u64, index: usize, status: u16 },
-    RunDeadline { life: u32, ticket: Ticket },
-    ForwardDeadline { life: u32, ticket: Ticket },
-    Report { life: u32 },
+    Tick { epoch: u32 },
+    Deliver { epoch: u32, event: Event },
+    Arrive { inbound: InboundRequest },
+    SendForward { epoch: u32, to: NodeId, inbound: InboundRequest },
+    ForwardResponse { to: Site, epoch: u32, ticket: Ticket, result: FinalResponse, retries: u32 },
+    StartRun { epoch: u32, run: request::Run },
+    ServiceDone { epoch: u32, ticket: Ticket, run: u64 },
+    ChildDone { epoch: u32, parent: Ticket, run: u64, index: usize, status: u16 },
+    RunDeadline { epoch: u32, ticket: Ticket },
+    ForwardDeadline { epoch: u32, ticket: Ticket },
+    Report { epoch: u32 },
     Resend { root: u64 },
-    Connect { life: u32, to: NodeId },
-    Watch { life: u32 },
-    StoreWatchOver { life: u32, ticket: store::Ticket },
+    Connect { epoch: u32, to: NodeId },
+    CheckLinks { epoch: u32 },
+    LongPollTimeout { epoch: u32, ticket: store::Ticket },
 }
 
 #[derive(Debug)]
@@ -104,7 +106,8 @@
     world: World,
     data_centre: String,
     target: Target,
-    life: u32,
+    /// Counts the processes that the node has had.
+    epoch: u32,
     up: bool,
     frozen: bool,
     exited: bool,
@@ -114,43 +117,45 @@
     links: BTreeMap<NodeId, Link>,
     /// When the next tick is due; later ticks in the queue are stale.
     next_tick: Millis,
-    requests: BTreeMap<Ticket, Held>,
-    by_waiter: HashMap<Waiter, Ticket>,
-    /// Requests passed on, and to whom.
+    exchanges: BTreeMap<Ticket, Exchange>,
+    by_requester: HashMap<Requester, Ticket>,
+    /// Forwarded requests and the peer each was sent to.
     forwarded: BTreeMap<Ticket, NodeId>,
-    held_back: Vec<Step>,
+    /// Steps that came due while the process was frozen.
+    deferred: Vec<Step>,
 }
 
-/// Worlds, fakes and the events under way between them.
+/// Worlds, fakes and the events in transit between them.
 pub struct Fleet {
-    /// Virtual time now.
+    /// The current virtual time.
     pub now: Millis,
-    /// The network.
+    /// The network between nodes and to the platform.
     pub network: Network,
     /// The fake platform.
     pub platform: Platform,
-    /// What targets ran, in order.
+    /// The requests that targets started to run, in order.
     pub ran: Vec<RunRecord>,
-    /// What callers received, in order.
+    /// The responses that callers received, in order.
     pub received: Vec<Received>,
-    /// What operators were answered.
+    /// The replies to proposals, by ticket.
     pub proposal_replies: BTreeMap<u64, Result<Revision, config::ChangeError>>,
-    /// Log lines of nodes that are not about a request.
+    /// Log entries of nodes, without those about a request.
     pub log: Vec<(Millis, Site, Entry)>,
-    /// Messages sent between worlds.
+    /// The number of messages sent between worlds.
     pub messages: u64,
-    /// The bytes that they took on the network, with the headers of the network's protocols.
+    /// The size in bytes of these messages on the network, TCP/IP headers included.
     pub message_bytes: u64,
     nodes: Vec<Node>,
-    /// Whether [`Fleet::ran`] is written.
+    /// Whether runs are recorded in [`Fleet::ran`].
     pub record_runs: bool,
     roots: Vec<(Site, Millis, Request)>,
     last_received: HashMap<u64, usize>,
     by_node: HashMap<NodeId, Site>,
-    waiting: Vec<(Site, u32, store::Ticket, Waiting)>,
+    long_polls: Vec<(Site, u32, store::Ticket, LongPoll)>,
     queue: BinaryHeap<Reverse<(Millis, u64, usize, usize)>>,
-    /// Steps named by the queue, and the places in it that are free.
+    /// Steps that the queue refers to by index.
     steps: Vec<Option<Step>>,
+    /// Free indices in `steps`.
     free_steps: Vec<usize>,
     sequence: u64,
     options: Options,
@@ -158,12 +163,12 @@
     seed: u64,
 }
 
-const REPORT_PERIOD: Millis = Millis(1_000);
-/// How long a caller or a target waits before it sends a failed request again.
-const RESEND_AFTER: Millis = Millis(50);
+const REPORT_INTERVAL: Millis = Millis(1_000);
+/// The time after a failure until a caller sends the request again.
+const RESEND_BACKOFF: Millis = Millis(50);
 
 impl Fleet {
-    /// An empty fleet. The seed decides everything that is random in it.
+    /// Returns an empty fleet. The seed determines everything that is random in it.
     pub fn new(seed: u64, options: Options) -> Fleet {
         Fleet {
             now: Millis(0),
@@ -180,7 +185,7 @@
             roots: Vec::new(),
             last_received: HashMap::new(),
             by_node: HashMap::new(),
-            waiting: Vec::new(),
+            long_polls: Vec::new(),
             queue: BinaryHeap::new(),
             steps: Vec::new(),
             free_steps: Vec::new(),
@@ -194,12 +199,12 @@
     /// Adds a node with a target behind it.
     pub fn add(&mut self, data_centre: &str, service: Service) -> Site {
         let site = Site(self.nodes.len());
-        let world = self.world(site, 0, data_centre, &service.name);
+        let world = self.new_world(site, 0, data_centre, &service.name);
         self.nodes.push(Node {
             world,
             data_centre: data_centre.to_owned(),
             target: Target::new(service),
-            life: 0,
+            epoch: 0,
             up: true,
             frozen: false,
             exited: false,
@@ -208,73 +213,73 @@
             load: Load::default(),
             links: BTreeMap::new(),
             next_tick: Millis::MAX,
-            requests: BTreeMap::new(),
-            by_waiter: HashMap::new(),
+            exchanges: BTreeMap::new(),
+            by_requester: HashMap::new(),
             forwarded: BTreeMap::new(),
-            held_back: Vec::new(),
+            deferred: Vec::new(),
         });
         self.boot(site);
         site
     }
 
-    /// The sites in the order of addition.
+    /// Returns all sites in the order of addition.
     pub fn sites(&self) -> impl Iterator<Item = Site> + use<> {
         (0..self.nodes.len()).map(Site)
     }
 
-    /// The world at a site.
+    /// Returns the world at a site.
     pub fn world_at(&self, site: Site) -> &World {
         &self.nodes[site.0].world
     }
 
-    /// The target at a site.
+    /// Returns the target at a site.
     pub fn target(&mut self, site: Site) -> &mut Target {
         &mut self.nodes[site.0].target
     }
 
-    /// Whether the node at a site has finished everything and left.
+    /// Whether the node at a site has finished its graceful shutdown.
     pub fn has_exited(&self, site: Site) -> bool {
         self.nodes[site.0].exited
     }
 
-    /// Whether the node at a site says that it is ready for callers.
+    /// Whether the node at a site reports that it is ready for callers.
     pub fn is_ready(&self, site: Site) -> bool {
         self.nodes[site.0].up && self.nodes[site.0].ready
     }
 
-    /// Ends a node's process at once. Its target stays.
+    /// Ends a node's process at once. Its target keeps running, but loses its work.
     pub fn kill(&mut self, site: Site) {
         let node = &mut self.nodes[site.0];
         node.up = false;
         node.ready = false;
-        self.end_life(site);
+        self.end_process(site);
     }
 
-    /// What a process held is gone with it.
-    fn end_life(&mut self, site: Site) {
+    /// Drops all state of a node's process: its exchanges, connections and events.
+    fn end_process(&mut self, site: Site) {
         let node = &mut self.nodes[site.0];
-        node.life += 1;
+        node.epoch += 1;
         node.next_tick = Millis::MAX;
         node.target.drop_work();
-        node.by_waiter.clear();
+        node.by_requester.clear();
         node.pending.clear();
-        node.held_back.clear();
+        node.deferred.clear();
         node.forwarded.clear();
         node.links.clear();
-        let held = std::mem::take(&mut node.requests);
-        for held in held.into_values() {
-            self.break_off(held.waiter);
+        let held = std::mem::take(&mut node.exchanges);
+        for exchange in held.into_values() {
+            self.abort(exchange.requester);
         }
         self.end_links_to(site);
     }
 
-    /// Starts a new process at a site, with a new id and no memory.
+    /// Starts a new process at a site, with a new id and no state.
     pub fn restart(&mut self, site: Site) {
         self.kill(site);
-        let life = self.nodes[site.0].life;
+        let epoch = self.nodes[site.0].epoch;
         let data_centre = self.nodes[site.0].data_centre.clone();
         let service = self.nodes[site.0].target.service.name.clone();
-        let world = self.world(site, life, &data_centre, &service);
+        let world = self.new_world(site, epoch, &data_centre, &service);
         let now = self.now;
         let node = &mut self.nodes[site.0];
         node.target.started = now;
@@ -288,19 +293,19 @@
         self.boot(site);
     }
 
-    /// Stops a node's process from running, as SIGSTOP does.
+    /// Suspends a node's process, as SIGSTOP does.
     pub fn freeze(&mut self, site: Site) {
         self.nodes[site.0].frozen = true;
     }
 
-    /// Lets a frozen process run on.
+    /// Resumes a suspended process, as SIGCONT does.
     pub fn resume(&mut self, site: Site) {
         let node = &mut self.nodes[site.0];
         node.frozen = false;
-        let held_back = std::mem::take(&mut node.held_back);
+        let deferred = std::mem::take(&mut node.deferred);
         let is_tick = |step: &Step| matches!(step, Step::Tick { .. });
-        let (ticks, others): (Vec<Step>, Vec<Step>) = held_back.into_iter().partition(is_tick);
-        // The first tick sees all that has come in the meantime, as in a process.
+        let (ticks, others): (Vec<Step>, Vec<Step>) = deferred.into_iter().partition(is_tick);
+        // The first tick gets all events that arrived in the meantime, as in a real process.
         for step in others.into_iter().chain(ticks) {
             self.schedule(site, self.now, step);
         }
@@ -311,7 +316,7 @@
         self.network.isolate(site.0);
     }
 
-    /// Asks a node to leave, as SIGTERM does.
+    /// Starts the graceful shutdown of a node, as SIGTERM does.
     pub fn stop(&mut self, site: Site) {
         self.deliver_later(site, Millis(0), Event::Stop);
     }
@@ -331,8 +336,8 @@
     pub fn restart_target(&mut self, site: Site) {
         self.nodes[site.0].target.up = true;
         self.nodes[site.0].target.started = self.now;
-        let life = self.nodes[site.0].life;
-        self.schedule(site, self.now, Step::Report { life });
+        let epoch = self.nodes[site.0].epoch;
+        self.schedule(site, self.now, Step::Report { epoch });
     }
 
     /// Sends a root request to a node and returns its number.
@@ -346,69 +351,70 @@
     fn send_root(&mut self, root: u64) {
         let (site, _, request) = self.roots[root as usize].clone();
         let origin = Origin::Caller { key: request.key.as_deref().map(KeyDigest::of) };
-        let waiter = Waiter::Caller { root };
-        let parcel = Parcel { request, origin, waiter, root };
-        self.schedule(site, self.now, Step::Arrive { parcel });
+        let requester = Requester::Caller { root };
+        let inbound = InboundRequest { request, origin, requester, root };
+        self.schedule(site, self.now, Step::Arrive { inbound });
     }
 
-    /// The caller of a root request hangs up.
+    /// Disconnects the caller of a root request.
     pub fn hang_up(&mut self, root: u64) {
         let Some((site, _, _)) = self.roots.get(root as usize) else { return };
         let site = *site;
-        if let Some(ticket) = self.ticket_of(site, Waiter::Caller { root }) {
+        if let Some(ticket) = self.ticket_of(site, Requester::Caller { root }) {
             self.deliver_later(site, Millis(0), Event::CallerGone(ticket));
         }
     }
 
-    /// Proposes a change through a node. The answer appears under the ticket.
+    /// Proposes a change through a node. The reply is stored in [`Fleet::proposal_replies`] under
+    /// the ticket.
     pub fn propose(&mut self, site: Site, ticket: u64, proposal: Proposal) {
         self.deliver_later(site, Millis(0), Event::Proposed(ProposalTicket(ticket), proposal));
     }
 
-    /// Hands an event to a node at once.
+    /// Delivers an event to a node at once.
     pub fn inject(&mut self, site: Site, event: Event) {
         self.deliver_later(site, Millis(0), event);
     }
 
-    /// Tells a node of another, as the addresses in its settings do.
+    /// Announces another node to a node, as the addresses in its settings do.
     pub fn introduce(&mut self, site: Site, to: Site) {
         let peer = self.nodes[to.0].world.identity().announcement.clone();
         self.deliver_later(site, Millis(1), Event::PeerSeen(peer));
     }
 
-    /// Lets virtual time pass up to a point.
+    /// Runs all steps that are due up to a point of virtual time.
     pub fn run_until(&mut self, end: Millis) {
         while let Some(Reverse((at, ..))) = self.queue.peek() {
             if *at > end {
                 break;
             }
-            let Some(Reverse((at, _, site, place))) = self.queue.pop() else { break };
-            self.free_steps.push(place);
-            let Some(step) = self.steps[place].take() else { continue };
+            let Some(Reverse((at, _, site, slot))) = self.queue.pop() else { break };
+            self.free_steps.push(slot);
+            let Some(step) = self.steps[slot].take() else { continue };
             self.now = at;
-            self.take(Site(site), step);
+            self.run_step(Site(site), step);
         }
         self.now = end;
     }
 
-    /// Lets virtual time pass.
+    /// Runs all steps that are due within a length of virtual time.
     pub fn run_for(&mut self, length: Millis) {
         self.run_until(self.now + length);
     }
 
-    /// What the caller of a root request received last, if anything yet.
+    /// Returns what the caller of a root request received last, if anything.
     pub fn response_to(&self, root: u64) -> Option<&Received> {
         self.last_received.get(&root).map(|&index| &self.received[index])
     }
 
-    /// A number that was not given before.
+    /// Returns a number that is unique in this fleet.
     fn next_number(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    fn world(&mut self, site: Site, life: u32, data_centre: &str, service: &str) -> World {
-        let node = node_id(site, life);
+    fn new_world(&mut self, site: Site, epoch: u32, data_centre: &str, service: &str) -> World {
+        let node = node_id(site, epoch);
         let announcement = Announcement {
             node,
             name: format!("{data_centre}-{}", site.0).into(),
@@ -417,15 +423,15 @@
             address: format!("127.0.0.1:{}", site.0 + 1).into(),
         };
         self.by_node.insert(node, site);
-        let seed = self.seed ^ ((site.0 as u64) << 32) ^ u64::from(life);
+        let seed = self.seed ^ ((site.0 as u64) << 32) ^ u64::from(epoch);
         World::new(Identity { announcement }, self.options.clone(), seed)
     }
 
     fn boot(&mut self, site: Site) {
-        let life = self.nodes[site.0].life;
+        let epoch = self.nodes[site.0].epoch;
         self.tick_at(site, self.now);
-        self.schedule(site, self.now, Step::Report { life });
-        self.schedule(site, self.now + link::WATCH_PERIOD, Step::Watch { life });
+        self.schedule(site, self.now, Step::Report { epoch });
+        self.schedule(site, self.now + link::LINK_CHECK_INTERVAL, Step::CheckLinks { epoch });
     }
 }
 
@@ -433,6 +439,6 @@
     Event::ForwardEnded { ticket, end, retries: 0 }
 }
 
-fn node_id(site: Site, life: u32) -> NodeId {
-    NodeId((u64::from(life) << 32) + site.0 as u64 + 1)
+fn node_id(site: Site, epoch: u32) -> NodeId {
+    NodeId((u64::from(epoch) << 32) + site.0 as u64 + 1)
 }
--- a/crates/mustardpin-virtual/src/fleet/call.rs
+++ b/crates/mustardpin-virtual/src/fleet/call.rs
@@ -1,4 +1,4 @@
-//! Requests on their way between callers, nodes and targets, and their answers.
+//! Requests and responses between callers, nodes and targets.
 
 use mustardpin_world::{
     Event, Millis,
@@ -8,22 +8,23 @@
 use rand::RngExt as _;
 
 use crate::fleet::{
-    Answer, Fleet, Held, Parcel, RESEND_AFTER, Received, Site, Step, Waiter, Word, forward_ended,
+    Exchange, FinalResponse, Fleet, InboundRequest, RESEND_BACKOFF, Received, Requester, Response,
+    Site, Step, forward_ended,
 };
 
-/// What is under way while two nodes are cut off from each other is sent again after this time, as
-/// TCP does, for as long as the connection lasts.
-const SEND_AGAIN: Millis = Millis(100);
-/// How long an answer takes to be seen as lost.
-const LOSS_SEEN: Millis = Millis(100);
+/// The interval at which requests and responses between two nodes that are cut off from each other
+/// are sent again, as TCP does, for as long as the connection lasts.
+const RETRANSMIT_INTERVAL: Millis = Millis(100);
+/// The time until the forwarding node detects that a response was lost.
+const LOSS_DETECTION_DELAY: Millis = Millis(100);
 
 impl Fleet {
-    pub(super) fn arrive(&mut self, site: Site, parcel: Parcel) {
+    pub(super) fn arrive(&mut self, site: Site, inbound: InboundRequest) {
         if !self.nodes[site.0].up {
-            return self.break_off(parcel.waiter);
+            return self.abort(inbound.requester);
         }
         let ticket = Ticket(self.next_number());
-        let Parcel { request, origin, waiter, root } = parcel;
+        let InboundRequest { request, origin, requester, root } = inbound;
         let event = Event::Arrived(request::Request {
             ticket,
             origin,
@@ -35,120 +36,138 @@
             timeout: request.timeout,
         });
         let node = &mut self.nodes[site.0];
-        node.by_waiter.insert(waiter, ticket);
-        node.requests.insert(ticket, Held { waiter, root, request, answer: None });
+        node.by_requester.insert(requester, ticket);
+        node.exchanges.insert(ticket, Exchange { requester, root, request, response: None });
         node.pending.push(event);
         self.tick_at(site, self.now);
     }
 
-    /// Whoever waits learns that the connection has ended.
-    pub(super) fn break_off(&mut self, waiter: Waiter) {
-        match waiter {
-            Waiter::Caller { root } => self.receive(root, None, None),
-            // The node sees its connection end.
-            Waiter::Node { .. } => {}
-            Waiter::Target { site, life, parent, run, index } => {
-                let step = Step::ChildOver { life, parent, run, index, status: 502 };
+    /// Ends the sender's connection without a response.
+    pub(super) fn abort(&mut self, requester: Requester) {
+        match requester {
+            Requester::Caller { root } => self.receive(root, None, None),
+            // The loss of the connection ends the forward; see `lose_link`.
+            Requester::Node { .. } => {}
+            Requester::Target { site, epoch, parent, run, index } => {
+                let step = Step::ChildDone { epoch, parent, run, index, status: 502 };
                 self.schedule(site, self.now, step);
             }
         }
     }
 
-    /// The node's target, or a peer, has answered: a good answer goes on, another one waits for
-    /// the node's word.
-    pub(super) fn answered(&mut self, site: Site, ticket: Ticket, answer: Answer, retries: u32) {
+    /// Handles a response of the node's target or of a peer. One with a final status is sent to the
+    /// sender of the request; any other one is kept until the world decides the verdict.
+    pub(super) fn handle_response(
+        &mut self,
+        site: Site,
+        ticket: Ticket,
+        response: Response,
+        retries: u32,
+    ) {
         let node = &mut self.nodes[site.0];
-        if !is_final_status(answer.status) {
-            if let Some(held) = node.requests.get_mut(&ticket) {
-                held.answer = Some(answer);
+        if !is_final_status(response.status) {
+            if let Some(exchange) = node.exchanges.get_mut(&ticket) {
+                exchange.response = Some(response);
             }
             return;
         }
-        if let Some(held) = node.requests.remove(&ticket) {
-            node.by_waiter.remove(&held.waiter);
-            self.tell(site, held.waiter, Word::Answered(answer), retries);
+        if let Some(exchange) = node.exchanges.remove(&ticket) {
+            node.by_requester.remove(&exchange.requester);
+            self.send_final_response(
+                site,
+                exchange.requester,
+                FinalResponse::Answered(response),
+                retries,
+            );
         }
     }
 
-    /// The node has said how a request ends.
+    /// Ends a request with the verdict of the world.
     pub(super) fn finish(&mut self, site: Site, ticket: Ticket, verdict: Verdict, retries: u32) {
         let node = &mut self.nodes[site.0];
         node.forwarded.remove(&ticket);
-        let Some(held) = node.requests.remove(&ticket) else { return };
-        node.by_waiter.remove(&held.waiter);
-        let word = match (verdict, held.answer) {
-            (Verdict::Pass, Some(answer)) => Word::Answered(answer),
-            (verdict, _) => Word::Refused(verdict),
+        let Some(exchange) = node.exchanges.remove(&ticket) else { return };
+        node.by_requester.remove(&exchange.requester);
+        let result = match (verdict, exchange.response) {
+            (Verdict::Pass, Some(response)) => FinalResponse::Answered(response),
+            (verdict, _) => FinalResponse::Refused(verdict),
         };
-        self.tell(site, held.waiter, word, retries);
+        self.send_final_response(site, exchange.requester, result, retries);
     }
 
-    fn tell(&mut self, site: Site, waiter: Waiter, word: Word, retries: u32) {
-        match waiter {
-            Waiter::Caller { root } => match word {
-                Word::Answered(answer) if is_final_status(answer.status) => {
-                    self.receive(root, Some(Verdict::Pass), Some(answer.body));
+    fn send_final_response(
+        &mut self,
+        site: Site,
+        requester: Requester,
+        result: FinalResponse,
+        retries: u32,
+    ) {
+        match requester {
+            Requester::Caller { root } => match result {
+                FinalResponse::Answered(response) if is_final_status(response.status) => {
+                    self.receive(root, Some(Verdict::Pass), Some(response.body));
                 }
-                Word::Answered(_) => self.receive(root, None, None),
-                Word::Refused(verdict) => self.receive(root, Some(verdict), None),
+                FinalResponse::Answered(_) => self.receive(root, None, None),
+                FinalResponse::Refused(verdict) => self.receive(root, Some(verdict), None),
             },
-            Waiter::Node { site: to, life, ticket } => {
+            Requester::Node { site: to, epoch, ticket } => {
                 let is_lost = self.network.response_loss > 0.0
                     && self.rng.random_bool(self.network.response_loss);
                 if is_lost {
-                    return self.lose_answer(to, life, ticket);
+                    return self.drop_response(to, epoch, ticket);
                 }
-                let step = Step::Return { to, life, ticket, word, retries };
-                let delay = self.delay(site, to).unwrap_or(SEND_AGAIN);
+                let step = Step::ForwardResponse { to, epoch, ticket, result, retries };
+                let delay = self.delay(site, to).unwrap_or(RETRANSMIT_INTERVAL);
                 self.schedule(site, self.now + delay, step);
             }
-            Waiter::Target { site: target, life, parent, run, index } => {
-                let status = match word {
-                    Word::Answered(answer) => answer.status,
-                    Word::Refused(Verdict::Refuse(refusal)) => refusal.status(),
-                    Word::Refused(Verdict::Pass) => 502,
+            Requester::Target { site: target, epoch, parent, run, index } => {
+                let status = match result {
+                    FinalResponse::Answered(response) => response.status,
+                    FinalResponse::Refused(Verdict::Refuse(refusal)) => refusal.status(),
+                    FinalResponse::Refused(Verdict::Pass) => 502,
                 };
-                let step = Step::ChildOver { life, parent, run, index, status };
+                let step = Step::ChildDone { epoch, parent, run, index, status };
                 self.schedule(target, self.now, step);
             }
         }
     }
 
-    fn lose_answer(&mut self, to: Site, life: u32, ticket: Ticket) {
+    fn drop_response(&mut self, to: Site, epoch: u32, ticket: Ticket) {
         let node = &mut self.nodes[to.0];
-        if node.life == life && node.forwarded.remove(&ticket).is_some() {
-            self.deliver_later(to, LOSS_SEEN, forward_ended(ticket, ForwardEnd::Broken));
+        if node.epoch == epoch && node.forwarded.remove(&ticket).is_some() {
+            self.deliver_later(to, LOSS_DETECTION_DELAY, forward_ended(ticket, ForwardEnd::Broken));
         }
     }
 
-    /// A peer's word on a request reaches the node that passed it on.
-    pub(super) fn returned(
+    /// Delivers a peer's final response to the node that forwarded the request. While the two are
+    /// cut off from each other, the response is sent again later.
+    pub(super) fn receive_forward_response(
         &mut self,
         from: Site,
-        (to, life, ticket): (Site, u32, Ticket),
-        word: Word,
+        (to, epoch, ticket): (Site, u32, Ticket),
+        result: FinalResponse,
         retries: u32,
     ) {
         let node = &self.nodes[to.0];
-        if node.life != life || !node.forwarded.contains_key(&ticket) {
+        if node.epoch != epoch || !node.forwarded.contains_key(&ticket) {
             return;
         }
         if self.delay(from, to).is_none() {
-            let step = Step::Return { to, life, ticket, word, retries };
-            return self.schedule(from, self.now + SEND_AGAIN, step);
+            let step = Step::ForwardResponse { to, epoch, ticket, result, retries };
+            return self.schedule(from, self.now + RETRANSMIT_INTERVAL, step);
         }
         self.nodes[to.0].forwarded.remove(&ticket);
         let peer = self.nodes[from.0].world.identity().node();
         let load = self.nodes[from.0].load;
         self.deliver_later(to, Millis(0), Event::Load { from: peer, load });
-        let end = match word {
-            Word::Answered(answer) => {
-                let status = answer.status;
-                self.answered(to, ticket, answer, retries);
+        let end = match result {
+            FinalResponse::Answered(response) => {
+                let status = response.status;
+                self.handle_response(to, ticket, response, retries);
                 ForwardEnd::Answered { status }
             }
-            Word::Refused(Verdict::Refuse(refusal)) => ForwardEnd::Refused(refusal),
-            Word::Refused(Verdict::Pass) => ForwardEnd::Broken,
+            FinalResponse::Refused(Verdict::Refuse(refusal)) => ForwardEnd::Refused(refusal),
+            FinalResponse::Refused(Verdict::Pass) => ForwardEnd::Broken,
         };
         self.deliver_later(to, Millis(0), Event::ForwardEnded { ticket, end, retries });
     }
@@ -162,58 +181,69 @@
         self.last_received.insert(root, self.received.len());
         self.received.push(received);
         if resend {
-            self.schedule(site, self.now + RESEND_AFTER, Step::Resend { root });
+            self.schedule(site, self.now + RESEND_BACKOFF, Step::Resend { root });
         }
     }
 
     pub(super) fn forward(&mut self, site: Site, forward: request::Forward) {
-        let life = self.nodes[site.0].life;
+        let epoch = self.nodes[site.0].epoch;
         let ticket = forward.ticket;
-        let Some(held) = self.nodes[site.0].requests.get(&ticket).cloned() else { return };
+        let Some(exchange) = self.nodes[site.0].exchanges.get(&ticket).cloned() else { return };
         if !self.is_linked(site, forward.to) {
             let event = forward_ended(ticket, ForwardEnd::NotSent);
             return self.deliver_later(site, Millis(0), event);
         }
         self.nodes[site.0].forwarded.insert(ticket, forward.to);
-        let mut request = held.request;
+        let mut request = exchange.request;
         request.timeout = Some(forward.timeout);
-        let parcel = Parcel {
+        let inbound = InboundRequest {
             request,
             origin: Origin::Peer(forward.forwarded),
-            waiter: Waiter::Node { site, life, ticket },
-            root: held.root,
+            requester: Requester::Node { site, epoch, ticket },
+            root: exchange.root,
         };
-        self.pass(site, life, forward.to, parcel);
-        self.schedule(site, forward.deadline, Step::ForwardDeadline { life, ticket });
+        self.send_forward(site, epoch, forward.to, inbound);
+        self.schedule(site, forward.deadline, Step::ForwardDeadline { epoch, ticket });
     }
 
-    /// Sends a request over a connection, or tries again while the connection lasts.
-    pub(super) fn pass(&mut self, site: Site, life: u32, to: NodeId, parcel: Parcel) {
-        let Waiter::Node { ticket, .. } = parcel.waiter else { return };
+    /// Sends a request over a connection. While the receiver is cut off, tries again for as long as
+    /// the connection lasts.
+    pub(super) fn send_forward(
+        &mut self,
+        site: Site,
+        epoch: u32,
+        to: NodeId,
+        inbound: InboundRequest,
+    ) {
+        let Requester::Node { ticket, .. } = inbound.requester else { return };
         let node = &self.nodes[site.0];
-        if node.life != life || node.forwarded.get(&ticket) != Some(&to) {
+        if node.epoch != epoch || node.forwarded.get(&ticket) != Some(&to) {
             return;
         }
         let receiver = self.site_of(to);
         match receiver.and_then(|receiver| Some((receiver, self.delay(site, receiver)?))) {
             Some((receiver, delay)) => {
-                self.schedule(receiver, self.now + delay, Step::Arrive { parcel });
+                self.schedule(receiver, self.now + delay, Step::Arrive { inbound });
             }
             None => {
-                self.schedule(site, self.now + SEND_AGAIN, Step::Pass { life, to, parcel });
+                self.schedule(
+                    site,
+                    self.now + RETRANSMIT_INTERVAL,
+                    Step::SendForward { epoch, to, inbound },
+                );
             }
         }
     }
 
-    pub(super) fn forward_deadline(&mut self, site: Site, life: u32, ticket: Ticket) {
-        if self.nodes[site.0].life == life && self.nodes[site.0].forwarded.contains_key(&ticket) {
+    pub(super) fn forward_deadline(&mut self, site: Site, epoch: u32, ticket: Ticket) {
+        if self.nodes[site.0].epoch == epoch && self.nodes[site.0].forwarded.contains_key(&ticket) {
             self.cancel(site, ticket);
         }
     }
 
-    pub(super) fn run_deadline(&mut self, site: Site, life: u32, ticket: Ticket) {
+    pub(super) fn run_deadline(&mut self, site: Site, epoch: u32, ticket: Ticket) {
         let node = &self.nodes[site.0];
-        if node.life == life && node.target.progress.contains_key(&ticket) {
+        if node.epoch == epoch && node.target.progress.contains_key(&ticket) {
             self.cancel(site, ticket);
         }
     }
@@ -223,20 +253,20 @@
             self.nodes[site.0].target.cancel(ticket);
             let event = Event::RunEnded(ticket, request::RunEnd::Cancelled);
             self.deliver_later(site, Millis(0), event);
-            self.start_waiting(site);
+            self.start_queued(site);
             return;
         }
         let Some(to) = self.nodes[site.0].forwarded.remove(&ticket) else { return };
-        let life = self.nodes[site.0].life;
+        let epoch = self.nodes[site.0].epoch;
         if let Some((to, delay)) = self.reach(site, to)
-            && let Some(there) = self.ticket_of(to, Waiter::Node { site, life, ticket })
+            && let Some(peer_ticket) = self.ticket_of(to, Requester::Node { site, epoch, ticket })
         {
-            self.deliver_later(to, delay, Event::CallerGone(there));
+            self.deliver_later(to, delay, Event::CallerGone(peer_ticket));
         }
         self.deliver_later(site, Millis(0), forward_ended(ticket, ForwardEnd::Cancelled));
     }
 
-    pub(super) fn ticket_of(&self, site: Site, waiter: Waiter) -> Option<Ticket> {
-        self.nodes[site.0].by_waiter.get(&waiter).copied()
+    pub(super) fn ticket_of(&self, site: Site, requester: Requester) -> Option<Ticket> {
+        self.nodes[site.0].by_requester.get(&requester).copied()
     }
 }
--- a/crates/mustardpin-virtual/src/fleet/caller.rs
+++ b/crates/mustardpin-virtual/src/fleet/caller.rs
@@ -1,4 +1,4 @@
-//! Root requests as tests send them, and what their callers receive.
+//! Root requests as tests send them, and the responses that their callers receive.
 
 use mustardpin_world::{Millis, refusal::Outcome, request::Verdict};
 
@@ -9,20 +9,20 @@
 pub struct Request {
     /// The HTTP method.
     pub method: String,
-    /// The path.
+    /// The path of the request.
     pub path: String,
     /// The tenant key, `ID.SECRET`.
     pub key: Option<String>,
-    /// The digest of the request; the same for a resent one.
+    /// The digest of the request; a resent request has the same one.
     pub fingerprint: u64,
-    /// The time the caller is willing to wait.
+    /// The timeout that the caller sends with the request.
     pub timeout: Option<Millis>,
-    /// How often the caller sends the request again after a failure.
+    /// How many times the caller sends the request again after a failure.
     pub resends: u32,
 }
 
 impl Request {
-    /// A GET request.
+    /// Returns a GET request with fingerprint 0.
     pub fn get(path: &str, key: &str) -> Request {
         Request {
             method: "GET".to_owned(),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A POST request of a name, which decides its fingerprint.
+    /// Returns a POST request whose fingerprint is derived from the path and a name.
     pub fn post(path: &str, key: &str, name: &str) -> Request {
         Request {
             method: "POST".to_owned(),
@@ -44,35 +44,35 @@
     }
 }
 
-/// The public part of a tenant key.
-pub(super) fn id_of(key: &str) -> &str {
+/// Returns the id of a tenant key, its part before the dot.
+pub(super) fn key_id(key: &str) -> &str {
     key.split('.').next().unwrap_or(key)
 }
 
-/// What the caller of a root request received.
+/// The response that the caller of a root request received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received {
     /// The number of the root request.
     pub root: u64,
-    /// Where it was sent.
+    /// The node that the request was sent to.
     pub site: Site,
-    /// When it was sent.
+    /// When the request was first sent.
     pub sent: Millis,
-    /// When the answer came.
+    /// When the response arrived, or the connection broke.
     pub at: Millis,
-    /// The answer; `None` if the connection broke.
+    /// The verdict; `None` if the connection broke.
     pub verdict: Option<Verdict>,
-    /// The body of a whole answer.
+    /// The body of a complete response of a target.
     pub body: Option<Vec<u8>>,
 }
 
 impl Received {
-    /// Whether a whole answer of a target came.
+    /// Whether a complete response of a target arrived.
     pub fn is_complete(&self) -> bool {
         matches!(self.verdict, Some(Verdict::Pass))
     }
 
-    /// Whether the system said that the request has not run.
+    /// Whether the response reports that the request did not run.
     pub fn is_not_run(&self) -> bool {
         self.verdict.as_ref().is_some_and(|verdict| verdict.outcome() == Outcome::NotRun)
     }
--- a/crates/mustardpin-virtual/src/fleet/message.rs
+++ b/crates/mustardpin-virtual/src/fleet/message.rs
@@ -1,4 +1,4 @@
-//! Messages between worlds, and questions to the platform.
+//! Messages between worlds, and operations of the platform's store.
 
 use mustardpin_world::{
     Event, Millis,
@@ -11,17 +11,17 @@
 
 use crate::{
     fleet::{Fleet, Site, Step},
-    platform::Outcome,
+    platform::StoreOutcome,
     size,
 };
 
-/// How long a node waits for an answer of the platform that does not come.
+/// The time after which a node treats a store operation without a reply as lost.
 const STORE_TIMEOUT: Millis = Millis(1_000);
 
 impl Fleet {
-    pub(super) fn message(&mut self, site: Site, to: NodeId, message: Message) {
+    pub(super) fn send_message(&mut self, site: Site, to: NodeId, message: Message) {
         self.messages += 1;
-        self.message_bytes += size::of(&message);
+        self.message_bytes += size::network_bytes(&message);
         if !self.is_linked(site, to) {
             return;
         }
@@ -41,7 +41,8 @@
         self.deliver_later(receiver, delay + jitter, Event::Peer { from, message });
     }
 
-    /// Tells all nodes with a connection to a node what its target has to do.
+    /// Stores a node's load and, if it is urgent, sends it to all nodes with a connection to the
+    /// node.
     pub(super) fn publish(&mut self, site: Site, load: Load, urgent: bool) {
         self.nodes[site.0].load = load;
         if !urgent {
@@ -60,54 +61,54 @@
         let Some(delay) = self.network.to_platform(&self.nodes[site.0].data_centre) else {
             return self.deliver_later(site, STORE_TIMEOUT, Event::Store(ticket, Reply::Lost));
         };
-        let life = self.nodes[site.0].life;
-        let both_ways = delay + delay;
+        let epoch = self.nodes[site.0].epoch;
+        let round_trip = delay + delay;
         self.platform.clock = self.now + delay;
         match self.platform.apply(operation) {
-            Outcome::Reply(reply) => {
-                self.deliver_later(site, both_ways, Event::Store(ticket, reply));
+            StoreOutcome::Reply(reply) => {
+                self.deliver_later(site, round_trip, Event::Store(ticket, reply));
             }
-            Outcome::Silence => {
+            StoreOutcome::NoReply => {
                 self.deliver_later(site, STORE_TIMEOUT, Event::Store(ticket, Reply::Lost));
             }
-            Outcome::Waits(waiting, wait) => {
-                self.waiting.push((site, life, ticket, waiting));
-                let step = Step::StoreWatchOver { life, ticket };
-                self.schedule(site, self.now + both_ways + wait, step);
+            StoreOutcome::Deferred(long_poll, wait) => {
+                self.long_polls.push((site, epoch, ticket, long_poll));
+                let step = Step::LongPollTimeout { epoch, ticket };
+                self.schedule(site, self.now + round_trip + wait, step);
             }
         }
-        self.answer_watches();
+        self.reply_to_long_polls();
     }
 
-    /// Answers the questions that something new was written for.
-    pub(super) fn answer_watches(&mut self) {
+    /// Replies to the long polls whose areas have changed.
+    pub(super) fn reply_to_long_polls(&mut self) {
         self.platform.clock = self.now;
-        for (site, life, ticket, waiting) in std::mem::take(&mut self.waiting) {
-            match self.platform.changes(waiting) {
-                None => self.waiting.push((site, life, ticket, waiting)),
-                Some(reply) => self.answer_watch(site, life, ticket, reply),
+        for (site, epoch, ticket, long_poll) in std::mem::take(&mut self.long_polls) {
+            match self.platform.changes(long_poll) {
+                None => self.long_polls.push((site, epoch, ticket, long_poll)),
+                Some(reply) => self.reply_to_long_poll(site, epoch, ticket, reply),
             }
         }
     }
 
-    /// The time of a question without changes is over.
-    pub(super) fn store_watch_over(&mut self, site: Site, life: u32, ticket: store::Ticket) {
-        let is_this = |(at, in_life, asked, _): &(Site, u32, store::Ticket, _)| {
-            (*at, *in_life, *asked) == (site, life, ticket)
+    /// Replies to a long poll that timed out without changes.
+    pub(super) fn long_poll_timeout(&mut self, site: Site, epoch: u32, ticket: store::Ticket) {
+        let is_this = |(in_site, in_epoch, in_ticket, _): &(Site, u32, store::Ticket, _)| {
+            (*in_site, *in_epoch, *in_ticket) == (site, epoch, ticket)
         };
-        let Some(index) = self.waiting.iter().position(is_this) else { return };
-        let (_, _, _, waiting) = self.waiting.swap_remove(index);
+        let Some(index) = self.long_polls.iter().position(is_this) else { return };
+        let (_, _, _, long_poll) = self.long_polls.swap_remove(index);
         self.platform.clock = self.now;
-        let reply = self.platform.nothing_new(waiting);
-        self.answer_watch(site, life, ticket, reply);
+        let reply = self.platform.unchanged_reply(long_poll);
+        self.reply_to_long_poll(site, epoch, ticket, reply);
     }
 
-    fn answer_watch(&mut self, site: Site, life: u32, ticket: store::Ticket, reply: Reply) {
-        if self.nodes[site.0].life != life {
+    fn reply_to_long_poll(&mut self, site: Site, epoch: u32, ticket: store::Ticket, reply: Reply) {
+        if self.nodes[site.0].epoch != epoch {
             return;
         }
         match self.network.to_platform(&self.nodes[site.0].data_centre) {
-            Some(delay) if self.platform.answers() => {
+            Some(delay) if self.platform.sends_replies() => {
                 self.deliver_later(site, delay, Event::Store(ticket, reply));
             }
             _ => self.deliver_later(site, STORE_TIMEOUT, Event::Store(ticket, Reply::Lost)),
--- a/crates/mustardpin-virtual/src/fleet/run.rs
+++ b/crates/mustardpin-virtual/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! Runs on the fake targets, and the calls that targets make.
+//! Runs of requests on the fake targets, and the calls that targets make.
 
 use mustardpin_world::{
     Event, Millis,
@@ -8,25 +8,28 @@
 };
 
 use crate::{
-    fleet::{Answer, Fleet, Held, Parcel, REPORT_PERIOD, Request, Site, Step, Waiter, caller},
+    fleet::{
+        Exchange, Fleet, InboundRequest, REPORT_INTERVAL, Request, Requester, Response, Site, Step,
+        caller,
+    },
     target::{Progress, RunRecord},
 };
 
 impl Fleet {
-    pub(super) fn begin(&mut self, site: Site, life: u32, run: request::Run) {
+    pub(super) fn start_run(&mut self, site: Site, epoch: u32, run: request::Run) {
         let (now, ticket) = (self.now, run.ticket);
-        if self.nodes[site.0].life != life || !self.nodes[site.0].up {
+        if self.nodes[site.0].epoch != epoch || !self.nodes[site.0].up {
             return;
         }
         if now > run.start_by || !self.nodes[site.0].target.up {
             let event = Event::RunEnded(ticket, RunEnd::NotSent);
             return self.deliver_later(site, Millis(0), event);
         }
-        let Some(held) = self.nodes[site.0].requests.get(&ticket).cloned() else { return };
+        let Some(exchange) = self.nodes[site.0].exchanges.get(&ticket).cloned() else { return };
         if self.record_runs {
-            self.note_run(site, &held);
+            self.record_run(site, &exchange);
         }
-        let fingerprint = Fingerprint(held.request.fingerprint);
+        let fingerprint = Fingerprint(exchange.request.fingerprint);
         if self.nodes[site.0].target.poison.contains(&fingerprint) {
             self.deliver_later(site, Millis(0), Event::RunEnded(ticket, RunEnd::Broken));
             return self.crash_target(site);
@@ -36,42 +39,42 @@
         let resends = target.service.resends;
         let progress = Progress { next_call: 0, open: 0, resends, run: number, token: run.token };
         target.progress.insert(ticket, progress);
-        target.waiting.push_back(ticket);
-        self.schedule(site, run.deadline, Step::RunDeadline { life, ticket });
-        self.start_waiting(site);
+        target.queued.push_back(ticket);
+        self.schedule(site, run.deadline, Step::RunDeadline { epoch, ticket });
+        self.start_queued(site);
     }
 
-    fn note_run(&mut self, site: Site, held: &Held) {
-        let root = self.roots.get(held.root as usize);
+    fn record_run(&mut self, site: Site, exchange: &Exchange) {
+        let root = self.roots.get(exchange.root as usize);
         let key = root.and_then(|(_, _, request)| request.key.as_deref());
         self.ran.push(RunRecord {
             at: self.now,
             node: self.nodes[site.0].world.identity().node(),
-            path: held.request.path.clone(),
-            fingerprint: Fingerprint(held.request.fingerprint),
-            key_id: key.map(|key| caller::id_of(key).to_owned()),
-            root: held.root,
+            path: exchange.request.path.clone(),
+            fingerprint: Fingerprint(exchange.request.fingerprint),
+            key_id: key.map(|key| caller::key_id(key).to_owned()),
+            root: exchange.root,
         });
     }
 
-    pub(super) fn start_waiting(&mut self, site: Site) {
+    pub(super) fn start_queued(&mut self, site: Site) {
         loop {
             let node = &mut self.nodes[site.0];
             if node.target.busy.len() >= node.target.service.slots {
                 return;
             }
-            let Some(ticket) = node.target.waiting.pop_front() else { return };
+            let Some(ticket) = node.target.queued.pop_front() else { return };
             node.target.busy.insert(ticket);
             let Some(progress) = node.target.progress.get(&ticket) else { continue };
             let run = progress.run;
-            let life = node.life;
-            let time = node.target.draw(self.now, &mut self.rng);
-            self.schedule(site, self.now + time, Step::ServiceOver { life, ticket, run });
+            let epoch = node.epoch;
+            let time = node.target.sample_service_time(self.now, &mut self.rng);
+            self.schedule(site, self.now + time, Step::ServiceDone { epoch, ticket, run });
         }
     }
 
-    pub(super) fn service_over(&mut self, site: Site, life: u32, ticket: Ticket, run: u64) {
-        if !self.is_running(site, life, ticket, run) {
+    pub(super) fn service_done(&mut self, site: Site, epoch: u32, ticket: Ticket, run: u64) {
+        if !self.is_running(site, epoch, ticket, run) {
             return;
         }
         let target = &self.nodes[site.0].target;
@@ -88,45 +91,45 @@
         }
     }
 
-    fn is_running(&self, site: Site, life: u32, ticket: Ticket, run: u64) -> bool {
+    fn is_running(&self, site: Site, epoch: u32, ticket: Ticket, run: u64) -> bool {
         let node = &self.nodes[site.0];
-        node.life == life
+        node.epoch == epoch
             && node.target.progress.get(&ticket).is_some_and(|progress| progress.run == run)
     }
 
-    /// Makes one of the target's calls.
+    /// Sends one of the target's calls to its own node.
     fn call_child(&mut self, site: Site, ticket: Ticket, index: usize) {
         let node = &mut self.nodes[site.0];
         let Some(progress) = node.target.progress.get_mut(&ticket) else { return };
-        let Some(held) = node.requests.get(&ticket) else {
+        let Some(exchange) = node.exchanges.get(&ticket) else {
             return self.end_run(site, ticket, 500);
         };
         progress.open += 1;
         let (run, token) = (progress.run, progress.token);
-        let (life, root) = (node.life, held.root);
+        let (epoch, root) = (node.epoch, exchange.root);
         let path = node.target.service.calls[index].clone();
-        let parent_fingerprint = held.request.fingerprint.to_string();
+        let parent_fingerprint = exchange.request.fingerprint.to_string();
         let request = Request {
             method: "GET".to_owned(),
             fingerprint: hash::of(&[&path, &parent_fingerprint]),
             path,
             ..Request::default()
         };
-        let waiter = Waiter::Target { site, life, parent: ticket, run, index };
+        let requester = Requester::Target { site, epoch, parent: ticket, run, index };
         let origin = Origin::Target { token: Some(token) };
-        let parcel = Parcel { request, origin, waiter, root };
-        self.schedule(site, self.now, Step::Arrive { parcel });
+        let inbound = InboundRequest { request, origin, requester, root };
+        self.schedule(site, self.now, Step::Arrive { inbound });
     }
 
-    pub(super) fn child_over(
+    pub(super) fn child_done(
         &mut self,
         site: Site,
-        life: u32,
+        epoch: u32,
         parent: Ticket,
         (run, index): (u64, usize),
         status: u16,
     ) {
-        if !self.is_running(site, life, parent, run) {
+        if !self.is_running(site, epoch, parent, run) {
             return;
         }
         let target = &mut self.nodes[site.0].target;
@@ -155,32 +158,32 @@
         let progress = node.target.progress.remove(&ticket);
         node.target.busy.remove(&ticket);
         let body = format!("run {}", progress.map_or(0, |progress| progress.run)).into_bytes();
-        self.answered(site, ticket, Answer { status, body }, 0);
+        self.handle_response(site, ticket, Response { status, body }, 0);
         let end = RunEnd::Answered { status, report: None };
         self.deliver_later(site, Millis(0), Event::RunEnded(ticket, end));
-        self.start_waiting(site);
+        self.start_queued(site);
     }
 
-    pub(super) fn report(&mut self, site: Site, life: u32) {
+    pub(super) fn report(&mut self, site: Site, epoch: u32) {
         let node = &mut self.nodes[site.0];
-        if node.life != life || !node.up || !node.target.up {
+        if node.epoch != epoch || !node.up || !node.target.up {
             return;
         }
         let target = &mut node.target;
-        target.reports += 1;
+        target.report_sequence += 1;
         let report = TargetReport {
             address: node.world.identity().announcement.address.clone(),
             instance: node.world.identity().name().clone(),
             started: target.started,
-            sequence: target.reports,
+            sequence: target.report_sequence,
             slots: Some(target.service.slots as u32),
             healthy: true,
             draining: target.draining,
             warm_up: Millis::ZERO,
             running: Some(target.busy.len() as u32),
         };
-        let report = self.nodes[site.0].target.say(self.now, report, &mut self.rng);
+        let report = self.nodes[site.0].target.distort_report(self.now, report, &mut self.rng);
         self.deliver_later(site, Millis(0), Event::Target(report));
-        self.schedule(site, self.now + REPORT_PERIOD, Step::Report { life });
+        self.schedule(site, self.now + REPORT_INTERVAL, Step::Report { epoch });
     }
 }
--- a/crates/mustardpin-virtual/src/lib.rs
+++ b/crates/mustardpin-virtual/src/lib.rs
@@ -1,8 +1,8 @@
-//! Several worlds driven in one thread over virtual time, with fakes at their borders.
+//! Drives several worlds in one thread over virtual time, with fakes at their interfaces.
 //!
 //! A [`Fleet`] holds worlds, a fake platform, a fake target behind each node and a network between
-//! them. The same seed and the same calls give the same history. The history that checks look at
-//! is what targets ran and what callers received, not what a world believes.
+//! them. The same seed and the same calls give the same history. Checks use the history of what
+//! targets ran and what callers received, not the internal state of a world.
 
 pub mod experiment;
 mod fleet;
--- a/crates/mustardpin-virtual/src/network.rs
+++ b/crates/mustardpin-virtual/src/network.rs
@@ -7,11 +7,11 @@
 /// The one-way delays of a network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Delay {
-    /// Between nodes of one data centre.
+    /// Delay between nodes of one data centre.
     pub inside: Millis,
-    /// Between data centres.
+    /// Delay between data centres.
     pub between: Millis,
-    /// Between a node and the platform.
+    /// Delay between a node and the platform.
     pub platform: Millis,
 }
 
@@ -21,21 +21,21 @@
     }
 }
 
-/// Which data centres reach each other and the platform.
+/// A simulated network: its delays, losses and the cuts that separate data centres.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// How long messages take.
+    /// The one-way delays of messages.
     pub delay: Delay,
-    /// Messages between worlds come up to this much later than the delay says, each by itself.
+    /// The largest random delay added to each message between worlds.
     pub jitter: Millis,
-    /// The share of messages between worlds that get lost, from 0 to 1.
+    /// The probability that a message between worlds is lost, from 0 to 1.
     pub loss: f64,
-    /// The share of answers between nodes that get lost, from 0 to 1.
+    /// The probability that a response from one node to another is lost, from 0 to 1.
     pub response_loss: f64,
-    /// Messages between data centres that get lost, such as those too large for a path.
+    /// Selects messages between data centres that are lost, such as those too large for a path.
     pub drop_filter: Option<fn(&Message) -> bool>,
     cuts: BTreeSet<(String, String)>,
-    from_platform: BTreeSet<String>,
+    platform_cuts: BTreeSet<String>,
     isolated: BTreeSet<usize>,
 }
 
@@ -48,27 +48,27 @@
 
     /// Cuts a data centre off from the platform.
     pub fn cut_platform(&mut self, data_centre: &str) {
-        self.from_platform.insert(data_centre.to_owned());
+        self.platform_cuts.insert(data_centre.to_owned());
     }
 
-    /// Cuts a single node off from all others, by its index.
+    /// Cuts one node, given by its index, off from all other nodes.
     pub(crate) fn isolate(&mut self, node: usize) {
         self.isolated.insert(node);
     }
 
-    /// Whether a single node is cut off from all others.
+    /// Whether a node is cut off from all other nodes by [`Network::isolate`].
     pub(crate) fn is_isolated(&self, node: usize) -> bool {
         self.isolated.contains(&node)
     }
 
-    /// Ends all cuts.
+    /// Ends all cuts between data centres, to the platform and of single nodes.
     pub fn heal(&mut self) {
         self.cuts.clear();
-        self.from_platform.clear();
+        self.platform_cuts.clear();
         self.isolated.clear();
     }
 
-    /// The delay from one data centre to another, or `None` if they are cut off.
+    /// Returns the one-way delay between two data centres, or `None` if they are cut off.
     pub fn between(&self, one: &str, other: &str) -> Option<Millis> {
         if one == other {
             return Some(self.delay.inside);
@@ -77,8 +77,9 @@
         (!cut).then_some(self.delay.between)
     }
 
-    /// The delay from a data centre to the platform, or `None` if it is cut off.
+    /// Returns the one-way delay between a data centre and the platform, or `None` if it is cut
+    /// off.
     pub fn to_platform(&self, data_centre: &str) -> Option<Millis> {
-        (!self.from_platform.contains(data_centre)).then_some(self.delay.platform)
+        (!self.platform_cuts.contains(data_centre)).then_some(self.delay.platform)
     }
 }
--- a/crates/mustardpin-virtual/src/platform.rs
+++ b/crates/mustardpin-virtual/src/platform.rs
@@ -1,4 +1,4 @@
-//! A fake platform: its store in memory.
+//! A fake platform that keeps its store in memory.
 
 use std::collections::BTreeMap;
 
@@ -11,48 +11,49 @@
 /// How the platform behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PlatformMode {
-    /// It answers.
+    /// It replies to every operation.
     #[default]
     Up,
-    /// It answers nothing and changes nothing.
+    /// It executes nothing and sends no replies.
     Down,
-    /// It carries writes out, but their answers are lost.
+    /// It executes writes, but the replies to them are lost.
     LoseReplies,
     /// It refuses every operation.
     Refuse(Refused),
 }
 
-/// A question that waits for changes.
+/// A long poll: a watch that the store holds until its area changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Waiting {
+pub(crate) struct LongPoll {
     area: Area,
     after: StoreVersion,
 }
 
-/// What becomes of an operation.
+/// How the store handles an operation.
 #[derive(Debug)]
-pub(crate) enum Outcome {
-    /// It is answered at once.
+pub(crate) enum StoreOutcome {
+    /// It replies at once.
     Reply(Reply),
-    /// It is never answered.
-    Silence,
-    /// It is answered when there are changes, or after this time.
-    Waits(Waiting, Millis),
+    /// It never replies.
+    NoReply,
+    /// It replies when there are changes, or after this time.
+    Deferred(LongPoll, Millis),
 }
 
 /// A store in memory.
 #[derive(Debug, Default)]
 pub struct Platform {
-    /// How it behaves.
+    /// How it responds to operations.
     pub mode: PlatformMode,
-    /// Operations that only read.
+    /// The number of reads and watches.
     pub reads: u64,
-    /// Transactions, accepted or not.
+    /// The number of transactions, accepted or not.
     pub writes: u64,
     version: StoreVersion,
-    /// The point of virtual time, as the store's clock shows it.
+    /// The time of the store's clock, in virtual time.
     pub(crate) clock: Millis,
-    forgotten: StoreVersion,
+    /// The version up to which the history of changes is dropped.
+    compacted_to: StoreVersion,
     rows: BTreeMap<RowKey, Row>,
 }
 
@@ -64,47 +65,47 @@
 }
 
 impl Platform {
-    /// Carries out an operation.
-    pub(crate) fn apply(&mut self, operation: Operation) -> Outcome {
+    /// Executes an operation.
+    pub(crate) fn apply(&mut self, operation: Operation) -> StoreOutcome {
         match &operation {
             Operation::Write { .. } => self.writes += 1,
             Operation::Read(_) | Operation::Watch { .. } => self.reads += 1,
         }
         match self.mode {
-            PlatformMode::Down => return Outcome::Silence,
-            PlatformMode::Refuse(refused) => return Outcome::Reply(Reply::Refused(refused)),
+            PlatformMode::Down => return StoreOutcome::NoReply,
+            PlatformMode::Refuse(refused) => return StoreOutcome::Reply(Reply::Refused(refused)),
             PlatformMode::Up | PlatformMode::LoseReplies => {}
         }
         match operation {
-            Operation::Read(area) => Outcome::Reply(self.read(area)),
+            Operation::Read(area) => StoreOutcome::Reply(self.read(area)),
             Operation::Watch { area, after, wait } => {
-                let waiting = Waiting { area, after };
-                match self.changes(waiting) {
-                    Some(reply) => Outcome::Reply(reply),
-                    None if wait == Millis::ZERO => Outcome::Reply(self.nothing_new(waiting)),
-                    None => Outcome::Waits(waiting, wait),
+                let poll = LongPoll { area, after };
+                match self.changes(poll) {
+                    Some(reply) => StoreOutcome::Reply(reply),
+                    None if wait == Millis::ZERO => StoreOutcome::Reply(self.unchanged_reply(poll)),
+                    None => StoreOutcome::Deferred(poll, wait),
                 }
             }
             Operation::Write { expected, puts, removals } => {
                 let reply = self.write(&expected, puts, removals);
                 match self.mode {
-                    PlatformMode::LoseReplies => Outcome::Silence,
-                    _ => Outcome::Reply(reply),
+                    PlatformMode::LoseReplies => StoreOutcome::NoReply,
+                    _ => StoreOutcome::Reply(reply),
                 }
             }
         }
     }
 
-    /// Writes rows without any condition, as a test's own hand.
+    /// Writes rows unconditionally, for the set-up of a test.
     pub fn put(&mut self, rows: Vec<(RowKey, Value)>) -> StoreVersion {
         self.version.0 += 1;
         for (key, value) in rows {
-            self.keep(key, Some(value));
+            self.set_row(key, Some(value));
         }
         self.version
     }
 
-    /// Writes rows of the configuration without any condition.
+    /// Writes configuration rows unconditionally.
     pub fn put_configuration(&mut self, rows: Vec<config::Row>) -> StoreVersion {
         let rows = rows.into_iter();
         self.put(
@@ -113,12 +114,12 @@
         )
     }
 
-    /// The version of the last transaction.
+    /// Returns the store version of the last transaction.
     pub fn version(&self) -> StoreVersion {
         self.version
     }
 
-    /// The row of the configuration that stands at a path.
+    /// Returns the configuration row at a path.
     pub fn configuration(&self, path: &config::Path) -> Option<&config::Row> {
         match &self.rows.get(&RowKey::Configuration(path.clone()))?.value {
             Some(Value::Configuration(row)) => Some(row),
@@ -126,37 +127,38 @@
         }
     }
 
-    /// The value of a row that is there.
+    /// Returns the value of a row, or `None` if it doesn't exist or was removed.
     pub fn value(&self, key: &RowKey) -> Option<&Value> {
         self.rows.get(key)?.value.as_ref()
     }
 
-    /// Forgets the history up to now: questions about changes since then are told so.
+    /// Drops the history up to the current version: a watch from an earlier version gets
+    /// [`Reply::HistoryGone`].
     pub fn compact(&mut self) {
-        self.forgotten = self.version;
+        self.compacted_to = self.version;
         self.rows.retain(|_, row| row.value.is_some());
     }
 
-    /// Whether answers reach those who ask.
-    pub(crate) fn answers(&self) -> bool {
+    /// Whether the platform sends replies to long polls.
+    pub(crate) fn sends_replies(&self) -> bool {
         self.mode != PlatformMode::Down
     }
 
-    /// The answer to a question, if there are changes.
-    pub(crate) fn changes(&self, waiting: Waiting) -> Option<Reply> {
-        if waiting.after < self.forgotten {
+    /// Returns the reply to a long poll if there are changes, or if the history was dropped.
+    pub(crate) fn changes(&self, poll: LongPoll) -> Option<Reply> {
+        if poll.after < self.compacted_to {
             return Some(Reply::HistoryGone);
         }
-        let rows: Vec<Row> = self.of(waiting.area, waiting.after).cloned().collect();
-        (!rows.is_empty()).then(|| self.reply(waiting.area, false, rows))
+        let rows: Vec<Row> = self.rows_since(poll.area, poll.after).cloned().collect();
+        (!rows.is_empty()).then(|| self.reply(poll.area, false, rows))
     }
 
-    /// The answer to a question whose time is over.
-    pub(crate) fn nothing_new(&self, waiting: Waiting) -> Reply {
-        self.reply(waiting.area, false, Vec::new())
+    /// Returns the reply to a long poll without changes.
+    pub(crate) fn unchanged_reply(&self, poll: LongPoll) -> Reply {
+        self.reply(poll.area, false, Vec::new())
     }
 
-    fn of(&self, area: Area, after: StoreVersion) -> impl Iterator<Item = &Row> {
+    fn rows_since(&self, area: Area, after: StoreVersion) -> impl Iterator<Item = &Row> {
         let rows = self.rows.values();
         rows.filter(move |row| area_of(&row.key) == area && row.version > after)
     }
@@ -172,7 +174,7 @@
     }
 
     fn read(&self, area: Area) -> Reply {
-        let rows = self.of(area, StoreVersion(0)).filter(|row| row.value.is_some());
+        let rows = self.rows_since(area, StoreVersion(0)).filter(|row| row.value.is_some());
         self.reply(area, true, rows.cloned().collect())
     }
 
@@ -191,15 +193,15 @@
         }
         self.version.0 += 1;
         for (key, value) in puts {
-            self.keep(key, Some(value));
+            self.set_row(key, Some(value));
         }
         for key in removals {
-            self.keep(key, None);
+            self.set_row(key, None);
         }
         Reply::Written { version: self.version }
     }
 
-    fn keep(&mut self, key: RowKey, value: Option<Value>) {
+    fn set_row(&mut self, key: RowKey, value: Option<Value>) {
         let row = Row { key: key.clone(), version: self.version, value };
         self.rows.insert(key, row);
     }
--- a/crates/mustardpin-virtual/src/target.rs
+++ b/crates/mustardpin-virtual/src/target.rs
@@ -1,4 +1,4 @@
-//! A fake target: slots, service time, calls of its own, crashes.
+//! A fake target with slots, a service time, calls to other services and crashes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,43 +14,43 @@
 /// How the targets of a service behave.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
-    /// Requests each target runs at once; others wait inside the target.
+    /// Requests that each target runs at the same time; others queue inside the target.
     pub slots: usize,
-    /// Mean service time in milliseconds, exponentially distributed.
+    /// Mean of the exponentially distributed service time, in milliseconds.
     pub mean_ms: f64,
-    /// Paths it calls, one after another, in the course of each request.
+    /// Paths that a target calls for each request it runs, in this order unless `parallel`.
     pub calls: Vec<String>,
-    /// How often it sends a failed call again.
+    /// How many failed calls a target sends again per request.
     pub resends: u32,
-    /// Whether it makes its calls all at once.
+    /// Whether a target makes its calls concurrently.
     pub parallel: bool,
-    /// Whether it stops work that is cancelled.
+    /// Whether a target stops running a request that is cancelled.
     pub cancellable: bool,
-    /// For this long after its start it is slower by [`COLD_FACTOR`].
+    /// How long after its start a target is slower by [`COLD_FACTOR`].
     pub cold_start: Millis,
-    /// What it reports of its slots and load.
+    /// How accurately a target reports its slots and load.
     pub reports: Reports,
 }
 
-/// How much slower a cold target is.
+/// Factor on the service time of a cold target.
 pub const COLD_FACTOR: f64 = 4.0;
 
-/// What a target reports of its slots and load.
+/// How accurately a target reports its slots and load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Reports {
-    /// The truth, at once.
+    /// Reports the current state.
     #[default]
     Prompt,
-    /// What was true this long ago.
+    /// Reports the state of this long ago.
     Late(Millis),
-    /// Far too few slots or far too many, and any load and health.
+    /// Reports far too few or far too many slots, and a random load and health.
     False,
 }
 
 impl Service {
-    /// A service that calls no others.
+    /// Returns a service that calls no others.
     pub fn leaf(name: &str, slots: usize, mean_ms: f64) -> Service {
         Service {
             name: name.to_owned(),
@@ -66,18 +66,18 @@
     }
 }
 
-/// A request that a target began to run.
+/// A record that a target started to run a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
-    /// When it began.
+    /// When the run started.
     pub at: Millis,
     /// The node in front of the target.
     pub node: NodeId,
-    /// The path.
+    /// The path of the request.
     pub path: String,
     /// The digest of the request.
     pub fingerprint: Fingerprint,
-    /// The key id its caller sent, as the test knows it.
+    /// The id of the key that the caller of the root request sent.
     pub key_id: Option<String>,
     /// The number of the root request.
     pub root: u64,
@@ -86,44 +86,45 @@
 /// A fake target behind one node.
 #[derive(Debug)]
 pub struct Target {
-    /// How it behaves.
+    /// The service it belongs to, which decides how it behaves.
     pub service: Service,
     /// Factor on the service time.
     pub slowdown: f64,
-    /// It answers every request with this status instead of calling others.
+    /// If set, every request ends with this status instead of calls to other services.
     pub failure_status: Option<u16>,
-    /// It crashes when it begins to run one of these.
+    /// Fingerprints of requests that crash the target when it starts to run them.
     pub poison: BTreeSet<Fingerprint>,
-    /// Whether its process is there.
+    /// Whether its process is running.
     pub up: bool,
     /// Whether it reports that it is draining.
     pub draining: bool,
     /// When its process started.
     pub started: Millis,
-    /// How often it crashed.
+    /// How many times it crashed.
     pub crashes: u32,
-    /// Reports that it has made.
-    pub(crate) reports: u64,
-    past: VecDeque<(Millis, TargetReport)>,
-    pub(crate) waiting: VecDeque<Ticket>,
+    /// The sequence number of its last report.
+    pub(crate) report_sequence: u64,
+    report_history: VecDeque<(Millis, TargetReport)>,
+    pub(crate) queued: VecDeque<Ticket>,
     pub(crate) busy: BTreeSet<Ticket>,
     pub(crate) progress: BTreeMap<Ticket, Progress>,
 }
 
-/// How far a target is with a request.
+/// The progress of a request that a target runs.
 #[derive(Debug, Clone)]
 pub(crate) struct Progress {
-    /// Calls that were served.
+    /// The number of calls that succeeded.
     pub(crate) next_call: usize,
-    /// Calls without an answer yet.
+    /// Calls that are waiting for a response.
     pub(crate) open: usize,
+    /// Failed calls that may still be sent again.
     pub(crate) resends: u32,
     pub(crate) run: u64,
     pub(crate) token: CallToken,
 }
 
 impl Target {
-    /// A target that is up and idle.
+    /// Returns a target that is up and idle.
     pub fn new(service: Service) -> Target {
         Target {
             service,
@@ -134,50 +135,54 @@
             draining: false,
             started: Millis::ZERO,
             crashes: 0,
-            reports: 0,
-            past: VecDeque::new(),
-            waiting: VecDeque::new(),
+            report_sequence: 0,
+            report_history: VecDeque::new(),
+            queued: VecDeque::new(),
             busy: BTreeSet::new(),
             progress: BTreeMap::new(),
         }
     }
 
-    /// What it reports in place of the truth.
-    pub(crate) fn say(
+    /// Returns the report that the target sends, given its actual state.
+    pub(crate) fn distort_report(
         &mut self,
         now: Millis,
-        truth: TargetReport,
+        actual: TargetReport,
         rng: &mut Pcg64Mcg,
     ) -> TargetReport {
         match self.service.reports {
-            Reports::Prompt => truth,
+            Reports::Prompt => actual,
             Reports::Late(lag) => {
-                self.past.push_back((now, truth.clone()));
-                while self.past.get(1).is_some_and(|(at, _)| *at + lag <= now) {
-                    self.past.pop_front();
+                self.report_history.push_back((now, actual.clone()));
+                while self.report_history.get(1).is_some_and(|(at, _)| *at + lag <= now) {
+                    self.report_history.pop_front();
                 }
-                let past = self.past.front().map(|(_, report)| report.clone()).unwrap_or_default();
+                let past = self
+                    .report_history
+                    .front()
+                    .map(|(_, report)| report.clone())
+                    .unwrap_or_default();
                 let TargetReport { slots, running, healthy, draining, .. } = past;
-                TargetReport { slots, running, healthy, draining, ..truth }
+                TargetReport { slots, running, healthy, draining, ..actual }
             }
             Reports::False => {
                 let slots = Some(if rng.random() { 1 } else { 1_000 });
                 let running = Some(rng.random_range(0..=1_000));
-                TargetReport { slots, running, healthy: rng.random(), ..truth }
+                TargetReport { slots, running, healthy: rng.random(), ..actual }
             }
         }
     }
 
-    /// Draws a service time.
-    pub(crate) fn draw(&self, now: Millis, rng: &mut Pcg64Mcg) -> Millis {
+    /// Draws a service time from its distribution.
+    pub(crate) fn sample_service_time(&self, now: Millis, rng: &mut Pcg64Mcg) -> Millis {
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
         let cold = if now < self.started + self.service.cold_start { COLD_FACTOR } else { 1.0 };
         Millis((-uniform.ln() * self.service.mean_ms * self.slowdown * cold).round() as u64)
     }
 
-    /// Forgets all work, as a process that ends does. Returns what it was at.
+    /// Drops all work, as a process that ends does. Returns the requests that it had.
     pub(crate) fn drop_work(&mut self) -> Vec<Ticket> {
-        self.waiting.clear();
+        self.queued.clear();
         self.busy.clear();
         std::mem::take(&mut self.progress).into_keys().collect()
     }
@@ -187,7 +192,7 @@
         if !self.service.cancellable {
             return;
         }
-        self.waiting.retain(|&waiting| waiting != ticket);
+        self.queued.retain(|&queued| queued != ticket);
         self.busy.remove(&ticket);
         self.progress.remove(&ticket);
     }
