--- a/crates/mustardpin-virtual/tests/testsuite/bookings.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/bookings.rs
@@ -91,7 +91,7 @@
     /// A short description of what a caller received, and how often its request ran.
     pub fn response(&self, root: u64) -> String {
         let runs = self.runs(root);
-        let Some(received) = self.fleet.answer_to(root) else {
+        let Some(received) = self.fleet.response_to(root) else {
             return format!("nothing; {runs} runs");
         };
         let kind = match &received.verdict {
@@ -119,7 +119,7 @@
             if outcome == Some(Outcome::NotRun) && runs.contains_key(&received.root) {
                 violations.push(format!("root {} ran: {}", received.root, response()));
             }
-            if received.is_whole() && !runs.contains_key(&received.root) {
+            if received.is_complete() && !runs.contains_key(&received.root) {
                 violations.push(format!("root {} did not run: {}", received.root, response()));
             }
         }
--- a/crates/mustardpin-virtual/tests/testsuite/configuration.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/configuration.rs
@@ -38,12 +38,12 @@
         accepted
     }),
     ("answers of the platform are lost", |scenario| {
-        scenario.fleet.platform.mode = PlatformMode::LoseAnswers;
+        scenario.fleet.platform.mode = PlatformMode::LoseReplies;
         scenario.withdraw(Site(0));
         scenario.load_until_accepted()
     }),
     ("answer lost and platform down for a second", |scenario| {
-        scenario.fleet.platform.mode = PlatformMode::LoseAnswers;
+        scenario.fleet.platform.mode = PlatformMode::LoseReplies;
         scenario.withdraw(Site(0));
         let accepted = scenario.load_until_accepted();
         scenario.fleet.platform.mode = PlatformMode::Down;
@@ -93,20 +93,20 @@
     }),
     ("deltas lost on the way to a data centre without the platform", |scenario| {
         scenario.fleet.network.cut_platform("west");
-        scenario.fleet.network.lose = Some(is_delta);
+        scenario.fleet.network.drop_filter = Some(is_delta);
         scenario.withdraw(Site(0));
         let accepted = scenario.load_until_accepted();
         scenario.load_for(Millis::from_secs(8));
-        scenario.fleet.network.lose = None;
+        scenario.fleet.network.drop_filter = None;
         accepted
     }),
     ("the delta lost, and the next one not", |scenario| {
         scenario.fleet.network.cut_platform("west");
-        scenario.fleet.network.lose = Some(is_delta);
+        scenario.fleet.network.drop_filter = Some(is_delta);
         scenario.withdraw(Site(0));
         let accepted = scenario.load_until_accepted();
         scenario.load_for(Millis(20));
-        scenario.fleet.network.lose = None;
+        scenario.fleet.network.drop_filter = None;
         let expected = scenario.revision(Site(0));
         scenario.propose(Site(0), 2, "next", expected, vec![team("third")]);
         accepted
@@ -169,7 +169,7 @@
             let refused = refused_without_configuration(&scenario, recent);
             assert_eq!(refused, 0, "{name}, seed {seed}: refusals of the other key at the end");
             if seed == 0 {
-                let reply = scenario.fleet.answers.get(&1);
+                let reply = scenario.fleet.proposal_replies.get(&1);
                 let reply =
                     reply.map_or("none", |reply| if reply.is_ok() { "ok" } else { "error" });
                 writeln!(report, "{name}: answer {reply}, last run {} after", last - accepted)
@@ -239,7 +239,7 @@
 /// centres. The platform accepts one change.
 #[test]
 fn the_later_of_two_concurrent_changes_gets_a_conflict_with_the_changed_rows() {
-    for mode in [PlatformMode::Up, PlatformMode::LoseAnswers] {
+    for mode in [PlatformMode::Up, PlatformMode::LoseReplies] {
         for_seeds(|seed| {
             let mut scenario = Scenario::start(seed, CutOffPolicy::Refuse);
             scenario.fleet.platform.mode = mode;
@@ -248,7 +248,7 @@
             scenario.fleet.run_for(Millis(seed % 7));
             scenario.propose(Site(4), 2, "two", expected, vec![team("garage"), team("third")]);
             scenario.fleet.run_for(Millis::from_secs(4));
-            let replies: Vec<_> = scenario.fleet.answers.values().cloned().collect();
+            let replies: Vec<_> = scenario.fleet.proposal_replies.values().cloned().collect();
             let actual = scenario.revision(Site(8));
             let is_first = replies[0].is_ok();
             let winning_rows =
@@ -276,7 +276,7 @@
         let mut scenario = Scenario::start(1, CutOffPolicy::Refuse);
         let expected = scenario.revision(Site(0));
         if takes_effect {
-            scenario.fleet.platform.mode = PlatformMode::LoseAnswers;
+            scenario.fleet.platform.mode = PlatformMode::LoseReplies;
             scenario.withdraw(Site(0));
             scenario.load_until_accepted();
         }
@@ -292,7 +292,7 @@
         scenario.fleet.run_for(Millis::from_secs(2));
         let written = scenario.fleet.platform.version().0 - before.0;
         writeln!(report, "{name}: {written} written on asking again").unwrap();
-        for (ticket, reply) in &scenario.fleet.answers {
+        for (ticket, reply) in &scenario.fleet.proposal_replies {
             writeln!(report, "  {ticket}: {reply:?}").unwrap();
         }
     }
@@ -344,7 +344,7 @@
         let proposal = Proposal { id, expected: before, rows, removals };
         scenario.fleet.propose(Site(0), ticket as u64, proposal);
         scenario.fleet.run_for(Millis(500));
-        match &scenario.fleet.answers[&(ticket as u64)] {
+        match &scenario.fleet.proposal_replies[&(ticket as u64)] {
             Ok(revision) => writeln!(report, "accepted at {revision}").unwrap(),
             Err(error) => writeln!(report, "{error}").unwrap(),
         }
@@ -367,6 +367,6 @@
     let expected = scenario.revision(Site(3));
     scenario.propose(Site(3), 2, "again", expected, vec![key(WITHDRAWN_KEY, "garage", false)]);
     scenario.fleet.run_for(Millis(500));
-    let reply = scenario.fleet.answers[&2].as_ref().unwrap_err().to_string();
+    let reply = scenario.fleet.proposal_replies[&2].as_ref().unwrap_err().to_string();
     insta::assert_snapshot!(reply, @"key/garage-1: was withdrawn for good: issue a new key");
 }
--- a/crates/mustardpin-virtual/tests/testsuite/drain.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/drain.rs
@@ -32,7 +32,7 @@
 /// the request has not run although a target had begun it.
 fn violations_of(scenario: &Scenario) -> Vec<String> {
     let ran: BTreeSet<u64> = scenario.fleet.ran.iter().map(|ran| ran.root).collect();
-    let responses = (0..scenario.sent()).map(|root| (root, scenario.fleet.answer_to(root)));
+    let responses = (0..scenario.sent()).map(|root| (root, scenario.fleet.response_to(root)));
     let violations = responses.filter_map(|(root, response)| match response {
         None => Some(format!("{root}: no response")),
         Some(received) if received.verdict.is_none() => Some(format!("{root}: broken connection")),
--- a/crates/mustardpin-virtual/tests/testsuite/once.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/once.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_lost_response_does_not_cause_a_second_run() {
     let mut bookings = Bookings::new(1, 2);
-    bookings.fleet.network.answer_loss = 1.0;
+    bookings.fleet.network.response_loss = 1.0;
     let root = bookings.book(bookings.fronts[0], "k1");
     bookings.fleet.run_for(Millis(500));
     assert_snapshot!(responses(&bookings, &[root]));
--- a/crates/mustardpin-virtual/tests/testsuite/overload.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/overload.rs
@@ -30,7 +30,7 @@
 
 fn run(scenario: Scenario, seed: u64) -> (Deployment, Outcome, Report) {
     let deployment = Deployment::association();
-    let outcome = experiment::run(&deployment, &Policy::whole(), scenario, seed);
+    let outcome = experiment::run(&deployment, &Policy::full(), scenario, seed);
     (deployment, outcome, Report { seed, lines: String::new() })
 }
 
@@ -41,14 +41,14 @@
     let mut lines = String::new();
     for seed in support::seeds(1) {
         let (deployment, outcome, mut report) = run(Scenario::Slow, seed + 1);
-        let goodput = outcome.goodput_in_cause();
+        let goodput = outcome.goodput_during_overload();
         let share = goodput / (deployment.deep_capacity() / SLOWDOWN);
         report.check(
             "A: goodput at least 90% of what the slow service can do",
             share >= 0.9,
             share,
         );
-        let recovery = outcome.recovery().unwrap_or(Millis::MAX);
+        let recovery = outcome.recovery_time().unwrap_or(Millis::MAX);
         report.check("A: back within 5 s", recovery <= Millis::from_secs(5), recovery.0 as f64);
         lines = report.lines;
     }
@@ -60,9 +60,9 @@
     let mut lines = String::new();
     for seed in support::seeds(1) {
         let (_, outcome, mut report) = run(Scenario::RatedFlood, seed + 1);
-        let worst = outcome.worst_team_but(0);
+        let worst = outcome.worst_team_except(0);
         report.check("B: every other team gets at least 99%", worst >= 0.99, worst);
-        let refused = outcome.refused_but(0);
+        let refused = outcome.refused_except(0);
         report.check("B: less than 0.1% of the others refused", refused < 0.001, refused);
         lines = report.lines;
     }
@@ -87,9 +87,9 @@
 fn false_load_reports_cost_little_goodput() {
     let mut lines = String::new();
     for seed in support::seeds(1) {
-        let baseline = run(Scenario::TrueReports, seed + 1).1.goodput_in_cause();
+        let baseline = run(Scenario::TrueReports, seed + 1).1.goodput_during_overload();
         let (_, outcome, mut report) = run(Scenario::FalseReports, seed + 1);
-        let share = outcome.goodput_in_cause() / baseline;
+        let share = outcome.goodput_during_overload() / baseline;
         report.check("D: goodput at least 95% of that with true reports", share >= 0.95, share);
         lines = report.lines;
     }
@@ -128,7 +128,7 @@
             if probe >= 30 {
                 for (kind, root) in roots {
                     let is_complete =
-                        fleet.answer_to(root).is_some_and(|response| response.is_whole());
+                        fleet.response_to(root).is_some_and(|response| response.is_complete());
                     complete[kind] += usize::from(is_complete);
                 }
             }
@@ -178,5 +178,5 @@
     let begin = std::time::Instant::now();
     fleet.run_for(Millis::from_secs(1));
     assert!(begin.elapsed() < MAX_DURATION, "{:?}", begin.elapsed());
-    assert!(roots.iter().all(|&root| fleet.answer_to(root).is_some()));
+    assert!(roots.iter().all(|&root| fleet.response_to(root).is_some()));
 }
--- a/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
@@ -87,8 +87,8 @@
             let site = sites[fingerprint as usize % sites.len()];
             let root = bookings.fleet.send(site, get("/look/slots", fingerprint));
             bookings.fleet.run_for(Millis(500));
-            let response = bookings.fleet.answer_to(root);
-            let is_complete = response.is_some_and(|received| received.is_whole());
+            let response = bookings.fleet.response_to(root);
+            let is_complete = response.is_some_and(|received| received.is_complete());
             assert!(is_complete, "seed {seed}, request {fingerprint}: {response:?}");
         }
     }
@@ -99,7 +99,7 @@
     let mut bookings = fleet_with_poison(1);
     send_poison_to_all(&mut bookings);
     let is_poison =
-        |ran: &&mustardpin_virtual::Ran| ran.fingerprint == Fingerprint(POISON_FINGERPRINT);
+        |ran: &&mustardpin_virtual::RunRecord| ran.fingerprint == Fingerprint(POISON_FINGERPRINT);
     let last =
         bookings.fleet.ran.iter().rfind(is_poison).expect("a target ran the poison request").node;
     let mut sites: Vec<Site> = bookings.fleet.sites().collect();
--- a/crates/mustardpin-virtual/tests/testsuite/schedule.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/schedule.rs
@@ -54,7 +54,7 @@
         Schedule { bookings, failures, rng, booking_count: 0, down, frozen, healed_at };
     if failures.losses {
         schedule.bookings.fleet.network.loss = 0.05;
-        schedule.bookings.fleet.network.answer_loss = 0.05;
+        schedule.bookings.fleet.network.response_loss = 0.05;
         schedule.bookings.fleet.network.jitter = Millis(30);
     }
     for _ in 0..STEPS {
@@ -162,7 +162,7 @@
         let bookings = &mut self.bookings;
         bookings.fleet.network.heal();
         bookings.fleet.network.loss = 0.0;
-        bookings.fleet.network.answer_loss = 0.0;
+        bookings.fleet.network.response_loss = 0.0;
         for (site, _) in self.frozen.drain(..) {
             bookings.fleet.resume(site);
         }
--- a/crates/mustardpin-virtual/tests/testsuite/shedding.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/shedding.rs
@@ -99,7 +99,7 @@
     }
     fleet.run_for(Millis::from_secs(3));
     let is_complete =
-        |root: &&u64| fleet.answer_to(**root).is_some_and(|response| response.is_whole());
+        |root: &&u64| fleet.response_to(**root).is_some_and(|response| response.is_complete());
     sent.iter()
         .map(|roots| roots.iter().filter(is_complete).count() as f64 / roots.len() as f64)
         .collect()
