--- a/crates/mustardpin-world/src/table/counter.rs
+++ b/crates/mustardpin-world/src/table/counter.rs
@@ -16,10 +16,10 @@
     /// The peer refused the request, which had not run.
     #[display("refused")]
     Refused,
-    /// The connection broke; the request is idempotent.
+    /// The connection broke; the request is repeatable.
     #[display("broken")]
     Broken,
-    /// The target responded with a server error; the request is idempotent.
+    /// The target responded with a server error; the request is repeatable.
     #[display("failed")]
     Failed,
     /// The target itself retried a nested call.
@@ -49,7 +49,7 @@
     /// Requests accepted.
     #[display("accepted")]
     Accepted,
-    /// Requests sent to this node's target.
+    /// Requests sent to the local target.
     #[display("run")]
     Run,
     /// Requests forwarded to a peer.
@@ -58,7 +58,7 @@
     /// Complete responses passed to callers.
     #[display("answered")]
     Answered,
-    /// Runs cancelled.
+    /// Attempts cancelled, on the local target or at a peer.
     #[display("cancelled")]
     Cancelled,
     /// Messages sent to peers.
--- a/crates/mustardpin-world/src/table/demand.rs
+++ b/crates/mustardpin-world/src/table/demand.rs
@@ -34,7 +34,7 @@
     pub route: RouteKey,
 }
 
-/// The requests of one class. Amounts decay, so they cover about the last second.
+/// The requests of one class. Amounts decay, so they follow the last second or two.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Offer {
     /// The decayed number of requests that arrived.
--- a/crates/mustardpin-world/src/table/route.rs
+++ b/crates/mustardpin-world/src/table/route.rs
@@ -52,7 +52,7 @@
 
 type ByPrefix = HashMap<CompactString, SmallVec<[RouteKey; 1]>, RandomState>;
 
-/// The table of routes. A route that is replaced keeps its key.
+/// The table of routes. A route keeps its key when it is replaced, until its name is removed.
 #[derive(Debug, Default)]
 pub struct Routes {
     rows: SlotMap<RouteKey, Route>,
--- a/crates/mustardpin-world/src/table/target.rs
+++ b/crates/mustardpin-world/src/table/target.rs
@@ -21,7 +21,7 @@
     pub limit: u32,
     /// The limit without the temporary reduction during a probe.
     pub sustained_limit: u32,
-    /// The measured mean duration of a run.
+    /// The measured duration of a served run, smoothed.
     pub latency: Millis,
     /// The call that runs alone, since it may crash the target.
     pub trial: Option<CallKey>,
