--- a/crates/mustardpin-world/src/system/ending.rs
+++ b/crates/mustardpin-world/src/system/ending.rs
@@ -31,7 +31,7 @@
 fn run_ended(world: &mut World, tick: &mut Tick, ticket: Ticket, end: RunEnd) {
     let Some(key) = world.tables.calls.by_ticket(ticket) else { return };
     let refusal = match end {
-        RunEnd::Answered { status, .. } => return answered(world, tick, key, status),
+        RunEnd::Answered { status, .. } => return handle_response(world, tick, key, status),
         RunEnd::Declined | RunEnd::Misdirected | RunEnd::NotSent => {
             Refusal::not_run(Reason::TargetFailed).after(RETRY_AFTER_DECLINED)
         }
@@ -44,7 +44,7 @@
 fn forward_ended(world: &mut World, tick: &mut Tick, ticket: Ticket, end: ForwardEnd) {
     let Some(key) = world.tables.calls.by_ticket(ticket) else { return };
     let refusal = match end {
-        ForwardEnd::Answered { status } => return answered(world, tick, key, status),
+        ForwardEnd::Answered { status } => return handle_response(world, tick, key, status),
         ForwardEnd::Refused(refusal) => refusal,
         ForwardEnd::NotSent => Refusal::not_run(Reason::PeerFailed).after(RETRY_AFTER_DECLINED),
         ForwardEnd::Broken => Refusal::unknown(Reason::PeerFailed),
@@ -53,7 +53,7 @@
     finish::run(world, tick, key, Verdict::Refuse(refusal));
 }
 
-fn answered(world: &mut World, tick: &mut Tick, key: CallKey, status: u16) {
+fn handle_response(world: &mut World, tick: &mut Tick, key: CallKey, status: u16) {
     let Some(call) = world.tables.calls.get(key) else { return };
     let is_late = tick.now > call.objective && call.from.is_none();
     if call.is_logged || is_late || !is_final_status(status) {
--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -27,7 +27,7 @@
 /// Maximum number of removed rows that are remembered to notice when one is written again.
 const MAX_REMOVED: usize = 256;
 /// Range of the random delay before a removal, so that nodes don't remove the same row at once.
-const FORGET_JITTER: Millis = Millis(3_000);
+const REMOVAL_JITTER: Millis = Millis(3_000);
 
 /// State of the system between ticks.
 #[derive(Debug, Default)]
@@ -188,7 +188,7 @@
         removed.pop_front();
     }
     if !is_up {
-        forget(world, tick, key, "row_removed");
+        remove_peer(world, tick, key, "row_removed");
     }
 }
 
@@ -201,7 +201,7 @@
             return known;
         }
         row = tables.peers.get(known).and_then(|peer| peer.row);
-        forget(world, tick, known, "replaced");
+        remove_peer(world, tick, known, "replaced");
     }
     let tables = &mut world.tables;
     let service = tables.services.get_or_insert(&announcement.service);
@@ -222,7 +222,7 @@
     key
 }
 
-fn forget(world: &mut World, tick: &mut Tick, key: PeerKey, why: &'static str) {
+fn remove_peer(world: &mut World, tick: &mut Tick, key: PeerKey, why: &'static str) {
     let Some(peer) = world.tables.peers.remove(key) else { return };
     if let Some(service) = world.tables.services.get_mut(peer.service) {
         service.peers.retain(|other| *other != key);
@@ -276,11 +276,11 @@
     let has_row = peer.row.is_some();
     tick.log(entry);
     if is_end && !has_row && world.systems.fleet.read_up_to.is_some() {
-        forget(world, tick, key, "gone");
+        remove_peer(world, tick, key, "gone");
     }
 }
 
-/// Removes the row of a peer that has been unreachable for too long.
+/// Removes the row of a peer that has been unreachable for too long; at most one in each check.
 fn remove_unreachable_rows(world: &mut World, tick: &mut Tick) {
     if tick.now < world.systems.fleet.next_check {
         return tick.wake(world.systems.fleet.next_check);
@@ -293,7 +293,7 @@
     if up * 2 < peers.len() || !world.tables.freshness.fleet_fresh {
         return;
     }
-    let after = world.options.fleet.forget_after + world.jitter(FORGET_JITTER);
+    let after = world.options.fleet.forget_after + world.jitter(REMOVAL_JITTER);
     let unreachable = world.tables.peers.iter().find(|(_, peer)| {
         let factor = if peer.has_returned { RETURNED_FACTOR } else { 1 };
         let is_unreachable = peer.link != Link::Up && peer.row.is_some();
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -55,7 +55,7 @@
             Origin::Caller { .. } | Origin::Target { .. } => from_caller(world, tick.now, &request),
         };
         match arrival {
-            Ok(arrival) => open(world, tick, request, arrival),
+            Ok(arrival) => create_call(world, tick, request, arrival),
             Err(refusal) => refuse(world, tick, &request, refusal),
         }
     }
@@ -202,7 +202,7 @@
     })
 }
 
-fn open(world: &mut World, tick: &mut Tick, request: Request, arrival: Arrival) {
+fn create_call(world: &mut World, tick: &mut Tick, request: Request, arrival: Arrival) {
     let is_root = arrival.from.is_none() && !arrival.nesting.is_nested();
     let is_rate_limited = is_root && arrival.team.is_some();
     let stage = if is_rate_limited { Stage::RateLimit } else { Stage::Routing };
--- a/crates/mustardpin-world/src/system/limit.rs
+++ b/crates/mustardpin-world/src/system/limit.rs
@@ -62,7 +62,7 @@
     fn resize(&mut self, _slots: u32) {}
 }
 
-/// The state of the system between ticks.
+/// State of the system between ticks.
 #[derive(Debug)]
 pub(crate) struct State {
     algorithm: Box<dyn Algorithm>,
--- a/crates/mustardpin-world/src/system/limit/adaptive.rs
+++ b/crates/mustardpin-world/src/system/limit/adaptive.rs
@@ -39,13 +39,14 @@
 const PROBE_SAMPLES: u32 = 48;
 /// The minimum time between two probes.
 const MIN_PROBE_INTERVAL: Millis = Millis(500);
-/// The minimum time between two probes while latency does not indicate a queue.
+/// The minimum time between two probes while latency shows no sign of a queue, that is, while it
+/// stays within [`PROBE_LATENCY_RATIO`].
 const MIN_ROUTINE_PROBE_INTERVAL: Millis = Millis(2_000);
 /// The time between two probes, as a multiple of the latency, after a probe that found no queue.
 const PROBE_INTERVAL_LATENCIES: f64 = 40.0;
 /// The same, after a probe that found a queue inside the target.
 const QUEUE_PROBE_INTERVAL_LATENCIES: f64 = 8.0;
-/// A probe that lowers latency below this fraction has found a queue.
+/// A probe that lowers latency below this fraction of that before it has found a queue.
 const QUEUE_LATENCY_RATIO: f64 = 0.85;
 /// A higher ratio than this of the latency during a probe to that before it is noise.
 const MAX_LATENCY_RATIO: f64 = 1.2;
--- a/crates/mustardpin-world/src/system/proposal.rs
+++ b/crates/mustardpin-world/src/system/proposal.rs
@@ -41,7 +41,7 @@
     wait: Wait,
 }
 
-/// State that the system keeps between ticks.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     open: VecDeque<Open>,
--- a/crates/mustardpin-world/src/system/quarantine.rs
+++ b/crates/mustardpin-world/src/system/quarantine.rs
@@ -52,7 +52,7 @@
     next: Millis,
 }
 
-/// State that the system keeps between ticks.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// Runs that broke within the crash window.
@@ -93,7 +93,8 @@
     send_broadcasts(world, tick);
 }
 
-/// Removes a request that has run to its end from the suspects, here and on all peers.
+/// Removes a request that has run to its end from the suspects, here and on all peers, since its
+/// run has not crashed the target. A request that is already quarantined stays.
 fn clear(world: &mut World, tick: &Tick, fingerprint: Fingerprint) {
     if world.tables.suspects.get(fingerprint, tick.now).is_some() {
         world.tables.suspects.clear(fingerprint, world.options.quarantine.crashes);
--- a/crates/mustardpin-world/src/system/queueing.rs
+++ b/crates/mustardpin-world/src/system/queueing.rs
@@ -97,7 +97,7 @@
     fn ahead_of(&self, class: Class) -> usize;
 }
 
-/// The state of the system between ticks.
+/// State of the system between ticks.
 #[derive(Debug)]
 pub(crate) struct State {
     discipline: Box<dyn Discipline>,
--- a/crates/mustardpin-world/src/system/rate_limit/leasing.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/leasing.rs
@@ -394,7 +394,7 @@
 }
 
 /// Maximum time that a request waits for a token. It is longer just after the start, when the node
-/// may not know the shard owners yet.
+/// may not know the shard owners yet, which is no reason to refuse requests.
 fn max_wait(world: &World, now: Millis) -> Millis {
     let max_wait = world.options.rate_limit.patience;
     let started_at = world.systems.rate_limit.leasing.started_at.unwrap_or(now);
--- a/crates/mustardpin-world/src/system/rate_limit/ownership.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/ownership.rs
@@ -14,7 +14,8 @@
 
 /// Maximum number of handovers kept for rosters that this node has not received yet.
 const MAX_EARLY_HANDOVERS: usize = 4_096;
-/// `next_in` of a grant for a shard that this node doesn't own or may not grant from.
+/// How long a node should wait after it requested tokens of a shard that this node doesn't own or
+/// may not grant from.
 const NOT_OWNER_BACKOFF: Millis = Millis(500);
 
 /// A bucket that another node handed over.
@@ -96,8 +97,8 @@
     owned
 }
 
-/// Removes the buckets of shards that this node no longer owns and hands them over to the new
-/// owners.
+/// Removes the buckets of shards that this node no longer owns, and hands over to the new owners
+/// those from which it was certainly the only one to grant.
 pub(super) fn hand_over_lost_buckets(world: &mut World, tick: &mut Tick) {
     let version = world.tables.roster.version;
     if world.tables.rate_limits.buckets_roster == version {
--- a/crates/mustardpin-world/src/system/registration.rs
+++ b/crates/mustardpin-world/src/system/registration.rs
@@ -1,8 +1,8 @@
 //! Maintains this node's row in the store, by which other nodes find it.
 //!
 //! The row is written when the node starts, and again when another node removed it. A draining node
-//! removes its row if its target has closed; otherwise it is expected to restart under the same node
-//! name and leaves the row in place.
+//! removes its row if its target is gone or draining too; otherwise the node is expected to restart
+//! under the same node name and leaves the row in place.
 
 use crate::{
     clock::Millis,
--- a/crates/mustardpin-world/src/system/resend.rs
+++ b/crates/mustardpin-world/src/system/resend.rs
@@ -13,7 +13,7 @@
     world::World,
 };
 
-/// Wait that a refused caller is asked to observe before it resends the request.
+/// How long a caller should wait before it resends a refused request.
 const RETRY_AFTER: Millis = Millis(1_000);
 
 /// Identity of a root request: requests with equal identities count as resends of one another.
--- a/crates/mustardpin-world/src/system/shedding.rs
+++ b/crates/mustardpin-world/src/system/shedding.rs
@@ -21,7 +21,7 @@
     world::{Tick, World},
 };
 
-/// The state of the system between ticks.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     /// The load that is attached to responses to peers.
@@ -111,7 +111,8 @@
 }
 
 fn is_significant_change(old: Load, new: Load) -> bool {
-    /// Loads that differ by less than the limit divided by this count as the same.
+    /// Loads count as the same if they differ by at most the limit divided by this and their
+    /// demands by at most the capacity divided by this.
     const CHANGE_DIVISOR: u32 = 32;
 
     let min_change = new.limit / CHANGE_DIVISOR;
--- a/crates/mustardpin-world/src/system/shedding/admission.rs
+++ b/crates/mustardpin-world/src/system/shedding/admission.rs
@@ -3,8 +3,9 @@
 //! For each overloaded service, the node lowers the fraction of the work for it that it admits, and
 //! raises it again once the service has capacity. A node that lags itself does the same for all
 //! requests, whichever services they call. The admitted work goes to the most important requests
-//! first, and within a rank to teams by max-min fairness; `floor_percent` of it is divided among
-//! all ranks alike.
+//! first, and within a rank to teams by max-min fairness. `floor_percent` of it is divided among
+//! all ranks in proportion to their work, so that some requests of each rank are admitted unless
+//! the option is zero.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +46,7 @@
 /// How long a caller should wait before it retries a refused request.
 const RETRY_AFTER: Millis = Millis(400);
 
-/// The state of admission between ticks.
+/// State of admission between ticks.
 #[derive(Debug, Default)]
 pub(super) struct State {
     next_update: Millis,
@@ -167,8 +168,9 @@
     }
 }
 
-/// The cost of a run of a route, with all the calls below it. Descends level by level, so that
-/// estimates in which routes call each other in a cycle take no longer to evaluate than others.
+/// The slot time, in milliseconds, that a run of a route costs each service, with all the calls
+/// below it. Descends level by level, so that estimates in which routes call each other in a cycle
+/// take no longer to evaluate than others.
 fn estimate_load(world: &World, route: RouteKey) -> Load {
     let tables = &world.tables;
     let mut load: BTreeMap<ServiceKey, f64> = BTreeMap::new();
@@ -200,6 +202,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ClassWork {
     class: RequestClass,
+    /// For a service, in milliseconds of slot time; for the node itself, in requests.
     work: f64,
 }
 
--- a/crates/mustardpin-world/src/system/shedding/node_lag.rs
+++ b/crates/mustardpin-world/src/system/shedding/node_lag.rs
@@ -26,7 +26,7 @@
 /// The node's capacity, in the same unit.
 const CAPACITY: u64 = 1_000;
 
-/// The lag between ticks.
+/// State of the lag measurement between ticks.
 #[derive(Debug)]
 pub(super) struct State {
     /// The lag that the last probe measured.
--- a/crates/mustardpin-world/src/system/shedding/route_cost.rs
+++ b/crates/mustardpin-world/src/system/shedding/route_cost.rs
@@ -47,7 +47,7 @@
     ended: f64,
 }
 
-/// The estimates between ticks.
+/// State of the estimates between ticks.
 #[derive(Debug, Default)]
 pub(super) struct State {
     next_update: Millis,
--- a/crates/mustardpin-world/src/system/shedding/target_load.rs
+++ b/crates/mustardpin-world/src/system/shedding/target_load.rs
@@ -20,7 +20,7 @@
 /// The fraction of the limit from which on the target counts as full.
 const FULL_FRACTION: f64 = 0.8;
 
-/// The demand between ticks.
+/// State of the demand measurement between ticks.
 #[derive(Debug, Default)]
 pub(super) struct State {
     next_update: Millis,
--- a/crates/mustardpin-world/src/system/stop.rs
+++ b/crates/mustardpin-world/src/system/stop.rs
@@ -16,7 +16,7 @@
 /// callers get a response.
 const REFUSE_BEFORE_END: Millis = Millis(500);
 
-/// State that the system keeps between ticks.
+/// State of the system between ticks.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     started: Option<Millis>,
@@ -49,11 +49,11 @@
 pub(super) fn update_readiness(world: &mut World, tick: &mut Tick) {
     let started = world.systems.stop.started.unwrap_or(tick.now);
     let tables = &world.tables;
-    let has_met =
+    let has_tried_peers =
         fleet::all_peers_tried(world) || tick.now - started >= world.options.fleet.meet_within;
     let has_configuration = tables.configuration.revision.0 > 0;
-    let ready = has_configuration && has_met && tables.freshness.fresh && !tables.leaving;
-    if !has_met {
+    let ready = has_configuration && has_tried_peers && tables.freshness.fresh && !tables.leaving;
+    if !has_tried_peers {
         tick.wake(started + world.options.fleet.meet_within);
     }
     if world.systems.stop.ready == Some(ready) {
@@ -65,7 +65,7 @@
         .with("leaving", tables.leaving)
         .with("revision", tables.configuration.revision.0)
         .with("configuration_age", tables.freshness.age)
-        .with("has_met_peers", has_met);
+        .with("has_met_peers", has_tried_peers);
     tick.log(entry);
     tick.commands.push(Command::Ready(ready));
 }
