--- a/crates/mustardpin-world/src/system/permission.rs
+++ b/crates/mustardpin-world/src/system/permission.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Checks that a key is not withdrawn. A key that this node does not know is accepted, since it may
+/// Checks the key of a forwarded call. A key that this node does not know is accepted, since it may
 /// be newer than the node's configuration.
 fn check_id(tables: &Tables, id: &str) -> Result<(), Reason> {
     let Some(tenant) = tables.tenants.by_id(id) else { return Ok(()) };
