--- a/crates/mustardpin-node/src/node.rs
+++ b/crates/mustardpin-node/src/node.rs
@@ -247,9 +247,9 @@
     let mut stage = exchanges.stage();
     // Fails only if `exchanges` is dropped, which this task holds.
     let _ = stage.wait_for(|stage| *stage != Stage::Serving).await;
-    let drain_timeout = time::sleep(limits.drain_idle_timeout);
+    let min_drain_time = time::sleep(limits.drain_idle_timeout);
     let _ = stage.wait_for(|stage| *stage == Stage::Exiting).await;
-    drain_timeout.await;
+    min_drain_time.await;
     connections.close();
     // Connections that are still open after this time are aborted.
     let _ = time::timeout(limits.exit_grace, connections.wait()).await;
--- a/crates/mustardpin-node/src/traffic/caller.rs
+++ b/crates/mustardpin-node/src/traffic/caller.rs
@@ -208,7 +208,8 @@
         }
     }
 
-    /// Cancels the requests behind a response that closes the connection.
+    /// Cancels the requests behind a response that closes the connection, since their responses
+    /// cannot be sent.
     fn cancel_pending(&mut self) {
         for slot in self.slots.drain(..) {
             if let ResponseSlot::Open { ticket, .. } = slot {
@@ -245,7 +246,8 @@
         select! {
             read = reader.read_buf(buffer), if may_read => {
                 if read? == 0 {
-                    // The caller has disconnected, so no response can be delivered.
+                    // A caller that closes its side, even if only half, counts as disconnected:
+                    // pending responses are dropped.
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 reading.record_received();
--- a/crates/mustardpin-node/src/traffic/http2.rs
+++ b/crates/mustardpin-node/src/traffic/http2.rs
@@ -71,7 +71,7 @@
         .serve_connection(io, service);
     let mut connection = std::pin::pin!(connection);
     select! {
-        // Connection errors need no handling: its requests were reported by `DisconnectGuard`.
+        // An error needs no handling: `DisconnectGuard` reports the connection's requests.
         _ = connection.as_mut() => return,
         _ = stage.wait_for(|stage| *stage != Stage::Serving) => {}
     }
--- a/crates/mustardpin-node/src/traffic/intake.rs
+++ b/crates/mustardpin-node/src/traffic/intake.rs
@@ -23,7 +23,8 @@
     response::CallerResponse,
 };
 
-/// When callers should retry a request that exceeded the limit of requests in progress.
+/// How long callers should wait before they retry a request that was refused because the node had
+/// no room for it: the limit of requests in progress or of buffered bodies was reached.
 const RETRY_AFTER: Millis = Millis(300);
 
 /// A request that was inserted into `Exchanges`.
--- a/crates/mustardpin-node/src/traffic/link/outgoing.rs
+++ b/crates/mustardpin-node/src/traffic/link/outgoing.rs
@@ -74,7 +74,7 @@
 pub(in crate::traffic) enum SendResult {
     /// The request was queued on the connection.
     Sent,
-    /// There is no connection, or its queue is full.
+    /// There is no connection, its queue is full or the frame is too large.
     NotSent,
     /// The body was a stream that an earlier attempt has consumed.
     BodyConsumed,
@@ -433,7 +433,8 @@
     Ok(())
 }
 
-/// Forwards a piece of a streamed response. The peer sends a piece only if it has a credit.
+/// Forwards a piece of a streamed response. The peer sends a piece only if it has a credit, so the
+/// channel has capacity for it.
 async fn receive_chunk(
     exchanges: &Exchanges,
     link: &OutgoingLink,
--- a/crates/mustardpin-node/src/traffic/sender.rs
+++ b/crates/mustardpin-node/src/traffic/sender.rs
@@ -19,8 +19,8 @@
     response::CallerResponse,
 };
 
-/// The maximum number of unwritten bytes at which frames are still queued for a slow peer. Above
-/// it, further frames are dropped.
+/// While more bytes than this are queued for a slow peer, `Sender::send` drops further frames. The
+/// connection stays open.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 
 #[derive(Debug, Default)]
@@ -44,7 +44,7 @@
 
 impl Sender {
     /// Queues a frame. Returns its byte offset in the connection's output, or `None` if the frame
-    /// was not queued.
+    /// was dropped: the connection has ended, the queue is full or the frame is too large.
     pub(super) fn send(&self, head: &Head, payload: &[&[u8]]) -> Option<u64> {
         let mut queue = self.queue();
         if self.is_closed.load(Ordering::Relaxed) || queue.bytes.len() > MAX_QUEUED_BYTES {
--- a/crates/mustardpin-node/tests/testsuite/control.rs
+++ b/crates/mustardpin-node/tests/testsuite/control.rs
@@ -45,7 +45,7 @@
     fn has_logged(&self, event: &str) -> bool {
         self.entries
             .lock()
-            .expect("no panic holds the lock")
+            .expect("the lock is not poisoned")
             .iter()
             .any(|entry| entry.event == event)
     }
@@ -64,7 +64,7 @@
 
 impl LogSink for FakeInterfaces {
     fn write(&mut self, entry: Entry) {
-        self.entries.lock().expect("no panic holds the lock").push(entry);
+        self.entries.lock().expect("the lock is not poisoned").push(entry);
     }
 }
 
--- a/crates/mustardpin-node/tests/testsuite/key.rs
+++ b/crates/mustardpin-node/tests/testsuite/key.rs
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_withdrawn_key_stops_working_on_open_connections() {
-    const BOUND: Duration = Duration::from_secs(3);
+    const MAX_WITHDRAWAL_TIME: Duration = Duration::from_secs(3);
     let fleet = Fleet::start(&[("slots", hello()), ("ledger", hello())]);
     let connect = |address: SocketAddr| TcpStream::connect(address).expect("the node listens");
     let mut http1 = [connect(fleet.callers(0)), connect(fleet.callers(1))];
@@ -93,7 +93,7 @@
         if [first, second, third] == [401; 3] {
             break;
         }
-        assert!(start.elapsed() < BOUND, "still served: {first} {second} {third}");
+        assert!(start.elapsed() < MAX_WITHDRAWAL_TIME, "still served: {first} {second} {third}");
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/mustardpin-node/tests/testsuite/link.rs
+++ b/crates/mustardpin-node/tests/testsuite/link.rs
@@ -101,7 +101,7 @@
 /// seconds.
 #[test]
 fn requests_to_an_unresponsive_peer_fail_together() {
-    const WAITING: u64 = 8;
+    const WAITING_REQUESTS: u64 = 8;
     let two = node(2, "fleet");
     // The listener accepts connections into its backlog, but never sends anything.
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -115,7 +115,7 @@
     };
     two.execute(TrafficCommand::Link(announcement));
     let begin = Instant::now();
-    let tickets: Vec<Ticket> = (0..WAITING)
+    let tickets: Vec<Ticket> = (0..WAITING_REQUESTS)
         .map(|_| {
             let callers = two.callers;
             thread::spawn(move || crate::fake::get(callers, "/slots"));
@@ -126,7 +126,7 @@
         two.execute(TrafficCommand::Forward(forward(ticket)));
     }
     let is_end = |event: &Event| matches!(event, Event::ForwardEnded { .. });
-    for _ in 0..WAITING {
+    for _ in 0..WAITING_REQUESTS {
         let Event::ForwardEnded { ticket, end, .. } = next_event(&two, is_end) else { continue };
         assert!(tickets.contains(&ticket));
         assert_eq!(end, ForwardEnd::NotSent);
--- a/crates/mustardpin-node/tests/testsuite/run.rs
+++ b/crates/mustardpin-node/tests/testsuite/run.rs
@@ -45,7 +45,7 @@
     let (side, target) = start(text(COMPLETE), Limits::default());
     let caller = send_booking(&side);
     let ticket = side.accept().ticket;
-    // This is the case if the process was frozen between the decision and the first byte.
+    // As if the process was frozen between the decision and the first byte.
     side.set_time(Millis(501));
     side.execute(TrafficCommand::Run(run(ticket)));
     assert_eq!(side.event(), Event::RunEnded(ticket, RunEnd::NotSent));
