--- a/crates/mustardpin-wire/src/admin/status.rs
+++ b/crates/mustardpin-wire/src/admin/status.rs
@@ -51,9 +51,10 @@
     pub revision: u64,
     /// Members of the roster, between which teams' rates are distributed.
     pub members: u64,
-    /// Whether this is recent enough to serve requests with a key.
+    /// Whether the configuration is recent enough to serve requests with a key.
     pub fresh: bool,
-    /// The age of the configuration, in milliseconds; `None` before the first one arrives.
+    /// The time since the node last knew the configuration to be current, in milliseconds; `None`
+    /// before it has received one.
     pub store_age_ms: Option<u64>,
 }
 
--- a/crates/mustardpin-wire/src/frame.rs
+++ b/crates/mustardpin-wire/src/frame.rs
@@ -375,7 +375,7 @@
     Ok(Some((head, frame)))
 }
 
-/// Splits a payload into headers and body. `fields` is the length of the headers, in bytes.
+/// Splits a payload into headers and body. The headers take up the first `header_bytes` bytes.
 ///
 /// # Errors
 ///
@@ -389,11 +389,11 @@
 /// assert_eq!((&headers[..], &body[..]), (&b"a: b\r\n"[..], &b"body"[..]));
 /// # Ok::<(), mustardpin_wire::frame::Error>(())
 /// ```
-pub fn split_payload(mut payload: Bytes, fields: u32) -> Result<(Bytes, Bytes), Error> {
-    let fields = fields as usize;
-    if payload.len() < fields {
+pub fn split_payload(mut payload: Bytes, header_bytes: u32) -> Result<(Bytes, Bytes), Error> {
+    let header_bytes = header_bytes as usize;
+    if payload.len() < header_bytes {
         return Err(Error::Payload);
     }
-    let body = payload.split_off(fields);
+    let body = payload.split_off(header_bytes);
     Ok((payload, body))
 }
--- a/crates/mustardpin-wire/src/scrub.rs
+++ b/crates/mustardpin-wire/src/scrub.rs
@@ -61,8 +61,8 @@
 /// use mustardpin_http::Headers;
 /// use mustardpin_wire::scrub;
 ///
-/// let fields = [("Connection", &b"x-hop"[..]), ("X-Hop", b"1"), ("Accept", b"*/*")];
-/// let headers: Headers = fields.into_iter().collect();
+/// let pairs = [("Connection", &b"x-hop"[..]), ("X-Hop", b"1"), ("Accept", b"*/*")];
+/// let headers: Headers = pairs.into_iter().collect();
 /// let mut out = Vec::new();
 /// scrub::copy_headers(&headers, |_, _| true, &mut out);
 /// assert_eq!(out, b"Accept: */*\r\n");
--- a/crates/mustardpin-wire/tests/testsuite/frame.rs
+++ b/crates/mustardpin-wire/tests/testsuite/frame.rs
@@ -43,8 +43,8 @@
         }
         let mut buffer = BytesMut::from(&out[..]);
         for (head, payload) in &heads {
-            let (read, rest) = frame::decode(&mut buffer).expect("it can be read").expect("it is whole");
-            prop_assert_eq!((&read, &rest[..]), (head, &payload[..]));
+            let (decoded, rest) = frame::decode(&mut buffer).expect("valid").expect("complete");
+            prop_assert_eq!((&decoded, &rest[..]), (head, &payload[..]));
         }
         prop_assert!(buffer.is_empty());
     }
@@ -128,8 +128,8 @@
         let refused = frame::Refused::new(3, &refusal, 2, load);
         let mut out = Vec::new();
         frame::encode(&mut out, &Head::Refused(refused.clone()), &[]).expect("the frame is small");
-        let (read, _) = frame::decode(&mut BytesMut::from(&out[..])).expect("read").expect("whole");
-        prop_assert_eq!(&read, &Head::Refused(refused.clone()));
+        let (decoded, _) = frame::decode(&mut BytesMut::from(&out[..])).expect("read").expect("whole");
+        prop_assert_eq!(&decoded, &Head::Refused(refused.clone()));
         prop_assert_eq!(refused.refusal(), refusal);
     }
 }
--- a/crates/mustardpin-wire/tests/testsuite/message.rs
+++ b/crates/mustardpin-wire/tests/testsuite/message.rs
@@ -66,8 +66,9 @@
 #[test]
 fn messages_round_trip() {
     for sent in messages() {
-        let bytes = postcard::to_allocvec(&Message::from(sent.clone())).expect("it can be written");
-        let read: Message = postcard::from_bytes(&bytes).expect("it can be read");
+        let bytes = postcard::to_allocvec(&Message::from(sent.clone()))
+            .expect("the message can be encoded");
+        let read: Message = postcard::from_bytes(&bytes).expect("the bytes can be decoded");
         assert_eq!(message::Message::try_from(read).as_ref(), Ok(&sent));
     }
 }
