--- a/crates/mustardpin-virtual/src/fleet.rs
+++ b/crates/mustardpin-virtual/src/fleet.rs
@@ -357,7 +357,7 @@
     }
 
     /// Disconnects the caller of a root request.
-    pub fn hang_up(&mut self, root: u64) {
+    pub fn disconnect_caller(&mut self, root: u64) {
         let Some((site, _, _)) = self.roots.get(root as usize) else { return };
         let site = *site;
         if let Some(ticket) = self.ticket_of(site, Requester::Caller { root }) {
--- a/crates/mustardpin-virtual/tests/testsuite/once.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/once.rs
@@ -62,7 +62,7 @@
     bookings.fleet.target(ledger).slowdown = 20.0;
     let root = bookings.book_at(ledger, "k1");
     bookings.fleet.run_for(Millis(10));
-    bookings.fleet.hang_up(root);
+    bookings.fleet.disconnect_caller(root);
     bookings.fleet.run_for(Millis(50));
     assert_eq!(bookings.fleet.world_at(ledger).tables().target.running, 1);
     bookings.fleet.run_for(Millis::from_secs(4));
@@ -80,7 +80,7 @@
     let first = bookings.book_at(ledger, "k1");
     let second = bookings.book(bookings.fronts[0], "k2");
     bookings.fleet.run_for(Millis(50));
-    bookings.fleet.hang_up(second);
+    bookings.fleet.disconnect_caller(second);
     bookings.fleet.run_for(Millis::from_secs(4));
     assert_snapshot!(responses(&bookings, &[first, second]));
 }
--- a/crates/mustardpin-virtual/tests/testsuite/routing.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/routing.rs
@@ -165,7 +165,7 @@
     fleet.run_for(Millis(100));
     assert!(fleet.world_at(back).tables().target.running > 0);
     for root in roots {
-        fleet.hang_up(root);
+        fleet.disconnect_caller(root);
     }
     fleet.run_for(Millis(100));
     assert_eq!(fleet.world_at(back).tables().target.running, 0);
