--- a/crates/mustardpin-standin/src/http.rs
+++ b/crates/mustardpin-standin/src/http.rs
@@ -19,10 +19,11 @@
 /// The maximum size of a JSON body, in bytes.
 const MAX_JSON_SIZE: usize = 64 << 20;
 
-/// The time-out of a JSON [`call`] up to the head of the response, and again for its body.
+/// The time-out of a JSON [`call`], such as an announcement, up to the head of the response, and
+/// again for its body.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The connection is closed instead of sending a response, or in the middle of one.
+/// The server closes the connection instead of sending a response, or in the middle of one.
 #[derive(Debug, Clone, Copy, Display, Error)]
 #[display("the connection is closed on purpose")]
 pub struct Aborted;
--- a/crates/mustardpin-standin/src/target/handler.rs
+++ b/crates/mustardpin-standin/src/target/handler.rs
@@ -24,7 +24,7 @@
 const CRASH_HEADER: &str = "standin-crash";
 /// The response header that states whether a declined request has run.
 const OUTCOME_HEADER: &str = "target-outcome";
-/// How long after its start a run makes the process exit.
+/// The delay from the end of the request until a run that is to crash makes the process exit.
 const CRASH_DELAY: Duration = Duration::from_millis(5);
 /// The exit code of a crash.
 const CRASH_EXIT_CODE: i32 = 70;
--- a/crates/mustardpin-standin/src/target/response_body.rs
+++ b/crates/mustardpin-standin/src/target/response_body.rs
@@ -23,7 +23,7 @@
 const CHUNK_SIZE: usize = 16 << 10;
 
 /// The maximum size of a body after its first line, in bytes.
-const MAX_SIZE: usize = 256 << 20;
+const MAX_FILLER_SIZE: usize = 256 << 20;
 
 /// The size and timing of a response, as requested by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -47,7 +47,7 @@
         let number =
             |name| query_parameter(text, name).and_then(|value| value.parse::<usize>().ok());
         ResponseOptions {
-            size: number("bytes").unwrap_or(0).min(MAX_SIZE),
+            size: number("bytes").unwrap_or(0).min(MAX_FILLER_SIZE),
             pace: Duration::from_millis(number("pace-ms").unwrap_or(0) as u64),
             cut_after: number("cut-after"),
         }
