--- a/crates/mustardpin-standin/src/load/sender.rs
+++ b/crates/mustardpin-standin/src/load/sender.rs
@@ -24,7 +24,7 @@
     target::{chain, response_body},
 };
 
-/// How long after its deadline a request times out.
+/// How long after its deadline each attempt of a request times out.
 const TIMEOUT_SLACK: Duration = Duration::from_secs(1);
 
 /// How long requests with a withdrawn key may still run.
@@ -59,7 +59,8 @@
         Sender { arguments, control, caller, next_entry: AtomicUsize::new(0) }
     }
 
-    /// Sends a request until its response is complete or no retry is left, and reports a sample.
+    /// Sends a request until its response is complete, no retry is left or a retry could run it a
+    /// second time. Then sends a sample to the control thread.
     pub async fn run(&self, job: Job) {
         let team = &self.arguments.teams[job.team.0];
         let is_open = self.arguments.routes[job.route.0].open;
