--- a/crates/mustardpin-virtual/examples/experiments.rs
+++ b/crates/mustardpin-virtual/examples/experiments.rs
@@ -115,8 +115,8 @@
     for importance in IMPORTANCES {
         cells.push(format!("{:.4}", lowest(&|outcome| outcome.served_by_importance(importance))));
     }
-    cells.push(format!("{:.4}", lowest(&|outcome| outcome.worst_team_except(0))));
-    cells.push(format!("{:.4}", -lowest(&|outcome| -outcome.refused_except(0))));
+    cells.push(format!("{:.4}", lowest(&|outcome| outcome.min_served_share_except(0))));
+    cells.push(format!("{:.4}", -lowest(&|outcome| -outcome.unserved_share_except(0))));
     let fair = |outcome: &Outcome| outcome.worst_fair_share(&deployment.teams);
     cells.push(format!("{:.2}", lowest(&fair)));
     let latency = outcomes.iter().map(|outcome| outcome.latency(99.0).0).max().unwrap_or(0);
--- a/crates/mustardpin-virtual/src/experiment/result.rs
+++ b/crates/mustardpin-virtual/src/experiment/result.rs
@@ -129,7 +129,7 @@
     }
 
     /// Returns the lowest share served of any team except one.
-    pub fn worst_team_except(&self, excluded: usize) -> f64 {
+    pub fn min_served_share_except(&self, excluded: usize) -> f64 {
         (0..self.teams)
             .filter(|&team| team != excluded)
             .map(|team| self.served_by_team(team))
@@ -137,7 +137,7 @@
     }
 
     /// Returns the share of the requests of all teams except one that was not served.
-    pub fn refused_except(&self, excluded: usize) -> f64 {
+    pub fn unserved_share_except(&self, excluded: usize) -> f64 {
         1.0 - self.served_of(|sent| sent.team != excluded).1
     }
 
--- a/crates/mustardpin-virtual/tests/testsuite/overload.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/overload.rs
@@ -60,9 +60,9 @@
     let mut lines = String::new();
     for seed in support::seeds(1) {
         let (_, outcome, mut report) = run(Scenario::RatedFlood, seed + 1);
-        let worst = outcome.worst_team_except(0);
+        let worst = outcome.min_served_share_except(0);
         report.check("B: every other team gets at least 99%", worst >= 0.99, worst);
-        let refused = outcome.refused_except(0);
+        let refused = outcome.unserved_share_except(0);
         report.check("B: less than 0.1% of the others refused", refused < 0.001, refused);
         lines = report.lines;
     }
