--- a/crates/mustardpin-virtual/src/experiment/result.rs
+++ b/crates/mustardpin-virtual/src/experiment/result.rs
@@ -107,11 +107,11 @@
     /// Returns the number of matching requests sent during the overload, and the share of them that
     /// was served.
     fn served_of(&self, is_counted: impl Fn(&Sent) -> bool) -> (usize, f64) {
-        let in_cause = self.rows.iter().filter(|row| {
+        let during_overload = self.rows.iter().filter(|row| {
             row.sent.at >= OVERLOAD_START && row.sent.at < OVERLOAD_END && is_counted(&row.sent)
         });
         let (mut sent, mut served) = (0, 0);
-        for row in in_cause {
+        for row in during_overload {
             sent += 1;
             served += usize::from(row.served.is_some());
         }
@@ -129,7 +129,7 @@
     }
 
     /// Returns the lowest share served of any team except one.
-    pub fn worst_team_except(&self, excluded: usize) -> f64 {
+    pub fn min_served_share_except(&self, excluded: usize) -> f64 {
         (0..self.teams)
             .filter(|&team| team != excluded)
             .map(|team| self.served_by_team(team))
@@ -137,7 +137,7 @@
     }
 
     /// Returns the share of the requests of all teams except one that was not served.
-    pub fn refused_except(&self, excluded: usize) -> f64 {
+    pub fn unserved_share_except(&self, excluded: usize) -> f64 {
         1.0 - self.served_of(|sent| sent.team != excluded).1
     }
 
--- a/crates/mustardpin-virtual/src/fleet.rs
+++ b/crates/mustardpin-virtual/src/fleet.rs
@@ -106,7 +106,7 @@
     world: World,
     data_centre: String,
     target: Target,
-    /// Counts the processes that the node has had.
+    /// Identifies the current process. It increases whenever a process of the node ends.
     epoch: u32,
     up: bool,
     frozen: bool,
@@ -164,7 +164,8 @@
 }
 
 const REPORT_INTERVAL: Millis = Millis(1_000);
-/// The time after a failure until a caller sends the request again.
+/// The time after a failure until a caller sends the request again. Targets send failed calls again
+/// at once.
 const RESEND_BACKOFF: Millis = Millis(50);
 
 impl Fleet {
@@ -357,7 +358,7 @@
     }
 
     /// Disconnects the caller of a root request.
-    pub fn hang_up(&mut self, root: u64) {
+    pub fn disconnect_caller(&mut self, root: u64) {
         let Some((site, _, _)) = self.roots.get(root as usize) else { return };
         let site = *site;
         if let Some(ticket) = self.ticket_of(site, Requester::Caller { root }) {
--- a/crates/mustardpin-virtual/tests/testsuite/routing.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/routing.rs
@@ -51,7 +51,7 @@
 
 fn runs_in(fleet: &Fleet, sites: std::ops::Range<usize>, from: Millis) -> usize {
     let nodes: Vec<_> = sites.map(|site| fleet.world_at(Site(site)).identity().node()).collect();
-    fleet.ran.iter().filter(|ran| ran.at >= from && nodes.contains(&ran.node)).count()
+    fleet.ran.iter().filter(|record| record.at >= from && nodes.contains(&record.node)).count()
 }
 
 #[test]
@@ -165,7 +165,7 @@
     fleet.run_for(Millis(100));
     assert!(fleet.world_at(back).tables().target.running > 0);
     for root in roots {
-        fleet.hang_up(root);
+        fleet.disconnect_caller(root);
     }
     fleet.run_for(Millis(100));
     assert_eq!(fleet.world_at(back).tables().target.running, 0);
