--- a/crates/mustardpin-world/src/command.rs
+++ b/crates/mustardpin-world/src/command.rs
@@ -46,7 +46,7 @@
         /// The message.
         message: Message,
     },
-    /// Connect to this peer, and reconnect when the connection ends.
+    /// Connect to this peer, and reconnect whenever the connection ends.
     OpenLink(Announcement),
     /// Close the connection to this peer and stop reconnecting.
     CloseLink(NodeId),
@@ -69,7 +69,8 @@
     Ready(bool),
     /// Write a log entry.
     Log(Entry),
-    /// Start draining: close callers' idle connections, so that they connect to other nodes.
+    /// Start draining: close callers' connections once they are idle, so that callers connect to
+    /// other nodes.
     CloseIdle,
     /// Exit: the node has drained, or the time for that is over.
     Exit,
--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -197,10 +197,10 @@
     /// The same for nested calls. If one is refused, the work done for the request that made it is
     /// lost.
     pub nested_wait: Millis,
-    /// Whether requests that have waited longer than that are refused, so that their callers get an
-    /// early response.
+    /// Whether requests that have waited longer than that are refused unrun, so that their callers
+    /// get an early response.
     pub is_wait_strict: bool,
-    /// Whether queued requests that can't finish by their deadline are refused.
+    /// Whether queued requests that can't finish by their deadline are refused unrun.
     pub drop_late: bool,
 }
 
@@ -286,8 +286,8 @@
     /// How much more a target in the local data centre may cost than one in another before the
     /// other is preferred, in hundredths of a run's time.
     pub local_preference: u32,
-    /// How much earlier a request's deadline is at a peer than at its entry node, so that the peer's
-    /// response arrives before the entry node's deadline.
+    /// How much earlier a request's deadline is at a peer than at its entry node, so that the
+    /// peer's response arrives before the entry node's deadline.
     pub margin: Millis,
 }
 
--- a/crates/mustardpin-world/src/request.rs
+++ b/crates/mustardpin-world/src/request.rs
@@ -13,7 +13,8 @@
 pub const SERVER_ERROR: u16 = 500;
 
 /// The digest of a request's method, path, query and body, and of the service behind the node that
-/// accepted it: the same for a client retry. Forwarded with the request.
+/// accepted it: the same for a client retry. Of a body that is too large to be buffered, it covers
+/// only the part that was received first. Forwarded with the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Fingerprint(pub u64);
 
@@ -98,7 +99,8 @@
     pub hops: u8,
 }
 
-/// A request whose head has arrived. Its body stays with the traffic side.
+/// A request that has arrived up to its body, which stays with the traffic side. A body that is
+/// small enough to be buffered has arrived too.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
     /// Identifies the request in commands and events.
