--- a/crates/mustardpin-settings/src/reader.rs
+++ b/crates/mustardpin-settings/src/reader.rs
@@ -16,7 +16,7 @@
 /// The maximum edit distance at which a known key is suggested for an unknown one.
 const MAX_SUGGESTION_DISTANCE: usize = 6;
 
-/// Durations must be below this, in milliseconds, so that an `f64` holds them exactly.
+/// Durations must be below this, in milliseconds. Larger numbers would not be exact in an `f64`.
 const MAX_MILLIS: f64 = 1e15;
 
 /// Reads settings one key at a time.
@@ -426,7 +426,8 @@
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-/// The value as redact in error messages. Values of credentials are hidden.
+/// The value as error messages show it. A value whose key names a credential may be a secret and is
+/// hidden.
 fn redact(key: &str, value: &Node) -> CompactString {
     if key.contains("credential") { REDACTED.into() } else { value.to_compact_string() }
 }
--- a/crates/mustardpin-settings/src/settings.rs
+++ b/crates/mustardpin-settings/src/settings.rs
@@ -164,7 +164,8 @@
     pub header_size: usize,
     /// The maximum size of a request's body, in bytes.
     pub body_size: usize,
-    /// The maximum size of a body that is kept in memory for retries, in bytes.
+    /// The maximum size of a body that is kept in memory for retries, in bytes. Larger bodies are
+    /// streamed and sent at most once.
     pub replay_size: usize,
     /// The maximum total size of the request bodies kept in memory, in bytes.
     pub kept_size: usize,
@@ -172,7 +173,7 @@
     pub header_timeout: Millis,
     /// How long a sender may pause within a request's body.
     pub body_timeout: Millis,
-    /// How long a connection may be idle.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Millis,
     /// How long a draining node accepts requests on idle connections before it closes them.
     pub close_linger: Millis,
