--- a/src/assignment.rs
+++ b/src/assignment.rs
@@ -32,7 +32,7 @@
     MissingKey {
         /// Path of the row.
         row: CompactString,
-        /// The key in the assignment.
+        /// The key that must be assigned.
         key: &'static str,
         /// Description of the values that are accepted.
         expected: &'static str,
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -120,7 +120,7 @@
     nodes: u64,
     /// Responding nodes that are at the revision or a later one.
     in_force: u64,
-    /// Addresses that did not respond.
+    /// Addresses at which the query failed.
     unreachable: u64,
 }
 
@@ -145,8 +145,8 @@
 }
 
 /// Queries the node at each address for its revision and counts the results by data centre. A data
-/// centre that is known only as that of a peer has zero nodes. A node that does not respond is
-/// counted under its address, as its data centre is not known.
+/// centre that is known only as that of a peer has zero nodes. A failed query is counted under its
+/// address, as the data centre there is not known.
 async fn query_nodes(client: &Client, revision: u64) -> BTreeMap<CompactString, Rollout> {
     let mut rollouts: BTreeMap<CompactString, Rollout> = BTreeMap::new();
     for &address in client.addresses() {
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -48,7 +48,7 @@
         if view.fresh { "fresh" } else { "cut off" }.to_owned(),
         age,
     ]];
-    table::print(["revision", "roster", "knowledge", "news from the store"], &rows);
+    table::print(["revision", "roster", "knowledge", "age of store data"], &rows);
     println!();
 }
 
@@ -57,7 +57,7 @@
     let state = match target {
         target if !target.present => "absent",
         target if target.draining => "draining",
-        target if !target.healthy => "says it is unhealthy",
+        target if !target.healthy => "reports itself unhealthy",
         _ => "present",
     };
     let slots = target.slots.map_or("unknown".to_owned(), |slots| slots.to_string());
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -7,7 +7,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_of_two_concurrent_changes_conflicts() {
     let fleet = Fleet::start(&[slot("north", "search"), slot("south", "search")]).await;
-    let revision = fleet.status(0).await.expect("the node answers").view.revision.to_string();
+    let revision = fleet.status(0).await.expect("the node responds").view.revision.to_string();
     let change = |slot: usize, rate: &str| {
         let rate = format!("rate={rate}");
         let words = ["defaults", "set", "team", "garages", &rate, "--expected", &revision];
@@ -28,12 +28,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retried_change_is_accepted_once() {
     let fleet = Fleet::start(&[slot("north", "search"), slot("south", "search")]).await;
-    let revision = fleet.status(0).await.expect("the node answers").view.revision.to_string();
+    let revision = fleet.status(0).await.expect("the node responds").view.revision.to_string();
     let words = ["defaults", "set", "team", "garages", "rate=111", "--expected", &revision];
-    let again = [&words[..], &["--change-id", "rate-of-garages"]].concat();
-    let first = fleet.run_successfully(&again);
+    let change = [&words[..], &["--change-id", "rate-of-garages"]].concat();
+    let first = fleet.run_successfully(&change);
     fleet.wait_until_in_force().await;
-    let second = fleet.run_successfully(&again);
+    let second = fleet.run_successfully(&change);
     assert_eq!(first, second);
 }
 
--- a/tests/testsuite/platform.rs
+++ b/tests/testsuite/platform.rs
@@ -11,7 +11,7 @@
     relay::{Mode, Relay},
 };
 
-/// Longer than the freshness window of the nodes.
+/// Longer than the freshness window of the nodes, which is 2.625 s with the default settings.
 const OUTAGE: Duration = Duration::from_secs(4);
 /// How long nodes may take to serve keyed requests again after the platform recovers, including the
 /// delays of the test itself.
