--- a/crates/mustardpin-world/src/command.rs
+++ b/crates/mustardpin-world/src/command.rs
@@ -30,7 +30,7 @@
     /// Respond to the caller; the request is over. Not issued for a response with a final status,
     /// which the traffic side passes on by itself.
     Finish {
-        /// The request.
+        /// The ticket of the request.
         ticket: Ticket,
         /// The final result, which decides the response.
         verdict: Verdict,
--- a/crates/mustardpin-world/src/config.rs
+++ b/crates/mustardpin-world/src/config.rs
@@ -16,11 +16,11 @@
 pub struct Importance(pub u8);
 
 impl Importance {
-    /// Refused first.
+    /// Low importance: refused first.
     pub const LOW: Importance = Importance(50);
     /// The default importance.
     pub const NORMAL: Importance = Importance(100);
-    /// Refused after normal requests.
+    /// High importance: refused after normal requests.
     pub const HIGH: Importance = Importance(150);
     /// Bookings, cancellations, confirmations: refused last.
     pub const CRITICAL: Importance = Importance(200);
@@ -61,7 +61,7 @@
 /// A team and its limits, which apply across all instances together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Team {
-    /// Its name.
+    /// The name of the team.
     pub name: CompactString,
     /// Its rate limit in requests per second; zero means no limit.
     pub rate: u32,
@@ -85,7 +85,7 @@
 /// A route: which requests it matches, and how they are sent to which services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: CompactString,
     /// The services that its requests are split between; most routes have one.
     pub parts: Vec<Part>,
@@ -186,7 +186,7 @@
 /// An exception to the defaults, with its stated reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exception {
-    /// Its name.
+    /// The name of the exception.
     pub name: CompactString,
     /// The change that it makes.
     pub change: Change,
@@ -197,10 +197,11 @@
 /// What a node does with keyed requests while it has no recent updates from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CutOffPolicy {
-    /// Refuse them.
+    /// Refuse keyed requests.
     #[default]
     Refuse,
-    /// Serve them with the last known keys and rate limits for this long after the last update.
+    /// Serve keyed requests with the last known keys and rate limits for this long after the last
+    /// update.
     Serve(Millis),
 }
 
@@ -333,7 +334,7 @@
         expected: Revision,
         /// The current revision.
         actual: Revision,
-        /// The rows changed in between.
+        /// The paths of the rows that changed between the two revisions.
         changed: Vec<Path>,
     },
     /// The change refers to something that does not exist, or has a value out of range.
--- a/crates/mustardpin-world/src/event.rs
+++ b/crates/mustardpin-world/src/event.rs
@@ -65,9 +65,9 @@
     RunEnded(Ticket, RunEnd),
     /// A request that was forwarded to a peer ended.
     ForwardEnded {
-        /// The request.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// How it ended.
+        /// How the request ended.
         end: ForwardEnd,
         /// How many of the retries lent with it are unused.
         retries: u32,
--- a/crates/mustardpin-world/src/request.rs
+++ b/crates/mustardpin-world/src/request.rs
@@ -192,7 +192,7 @@
 /// The arguments of [`crate::Command::Run`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
     /// The name of the team that it runs for, if this node accepted it from the caller.
     pub team: Option<CompactString>,
@@ -210,7 +210,7 @@
 /// The arguments of [`crate::Command::Forward`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Forward {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
     /// The peer that receives it.
     pub to: NodeId,
