--- a/crates/mustardpin-settings/src/error.rs
+++ b/crates/mustardpin-settings/src/error.rs
@@ -11,7 +11,7 @@
     /// The file could not be read.
     #[display("cannot read settings file {}", file.display())]
     Read {
-        /// The file.
+        /// The path of the settings file.
         file: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -19,7 +19,7 @@
     /// The file is not well-formed YAML, or has a key twice.
     #[display("settings file {} is not well-formed YAML", file.display())]
     Syntax {
-        /// The file.
+        /// The path of the settings file.
         file: PathBuf,
         /// The error of the parser, with line and column.
         source: Box<serde_saphyr::Error>,
@@ -27,7 +27,7 @@
     /// Some keys are missing, unknown or have invalid values. All of them are listed.
     #[display("{}", problems.iter().map(|problem| format!("{}: {problem}", file.display())).collect::<Vec<_>>().join("\n"))]
     Invalid {
-        /// The file.
+        /// The path of the settings file.
         file: PathBuf,
         /// The problems, in the order in which settings are read.
         problems: Vec<Problem>,
@@ -53,7 +53,7 @@
     Unknown {
         /// The dotted key.
         key: CompactString,
-        /// Its value.
+        /// The value of the key, or a placeholder for a credential.
         value: CompactString,
         /// The known key with the smallest edit distance, if it is close enough to be suggested.
         nearest: Option<CompactString>,
