--- a/crates/mustardpin-world/src/config.rs
+++ b/crates/mustardpin-world/src/config.rs
@@ -103,7 +103,8 @@
     pub open: bool,
     /// The time limit of a request.
     pub timeout: Millis,
-    /// The latency objective: the time within which callers want the response, if they stated one.
+    /// The latency objective: the time within which callers want the response; `None` means the
+    /// timeout.
     pub objective: Option<Millis>,
     /// The maximum number of targets that one request is sent to, one after the other; `None`
     /// applies only the fleet's retry allowance.
--- a/crates/mustardpin-world/src/hash.rs
+++ b/crates/mustardpin-world/src/hash.rs
@@ -6,7 +6,8 @@
 
 use rapidhash::v3::{RapidSecrets, rapidhash_v3_seeded};
 
-/// Must never change, since nodes of different versions must compute the same hashes.
+/// The seed of all hashes. It must never change, since nodes of different versions must compute the
+/// same hashes.
 const SECRETS: RapidSecrets = RapidSecrets::seed(0x6d75_7374_6172_6470);
 
 /// The hash of a sequence of bytes.
--- a/crates/mustardpin-world/src/options.rs
+++ b/crates/mustardpin-world/src/options.rs
@@ -72,7 +72,8 @@
 pub struct Freshness {
     /// The maximum age of a node's knowledge from the store. With older knowledge it is cut off.
     pub window: Millis,
-    /// The time-out of long polls: how long the store holds a request if nothing changes.
+    /// The maximum time for which the store holds a long poll for the configuration if nothing
+    /// changes.
     pub watch: Millis,
     /// Whether a node that is cut off refuses keyed requests, except for the grace time that
     /// operators allow.
@@ -160,8 +161,8 @@
 pub struct Shedding {
     /// Whether root requests are refused early when a service that they lead to is overloaded.
     pub early_refusal: bool,
-    /// The percentage of an overloaded service's capacity that is divided between all importances
-    /// alike. The rest goes to the most important requests first.
+    /// The percentage of the admitted work that is divided among all importances in proportion to
+    /// their demand. The rest goes to the most important requests first.
     pub floor_percent: u32,
     /// Whether a request is cancelled when its caller disconnects or its deadline passes.
     pub cancellation: bool,
@@ -197,10 +198,10 @@
     /// The same for nested calls. If one is refused, the work done for the request that made it is
     /// lost.
     pub nested_wait: Millis,
-    /// Whether requests that have waited longer than that are refused unrun, so that their callers
-    /// get an early response.
+    /// Whether requests that have waited longer than `wait` or `nested_wait` are refused before
+    /// they run, so that their callers get an early response.
     pub is_wait_strict: bool,
-    /// Whether queued requests that can't finish by their deadline are refused unrun.
+    /// Whether queued requests that can't finish by their deadline are refused before they run.
     pub drop_late: bool,
 }
 
@@ -226,7 +227,8 @@
     Chain,
     /// A ratio of retries to requests for each service, applied by each node for itself.
     Ratio,
-    /// Every client retry is admitted; the system itself retries nothing.
+    /// Every client retry is admitted; the system itself reroutes only requests that no target has
+    /// received.
     Unbounded,
 }
 
@@ -235,7 +237,7 @@
 pub struct FleetRetries {
     /// Retries for each thousand requests for a service.
     pub permille: u32,
-    /// Retries allowed beyond those in any short time.
+    /// Retries allowed beyond that ratio in any short time.
     pub slack: u32,
 }
 
@@ -281,7 +283,7 @@
 pub struct Routing {
     /// The maximum number of times that a request is forwarded from node to node.
     pub max_hops: u8,
-    /// The time limit of a request on a route without one.
+    /// The time limit of a request whose sender states none. The timeout of its route may lower it.
     pub default_timeout: Millis,
     /// How much more a target in the local data centre may cost than one in another before the
     /// other is preferred, in hundredths of a run's time.
--- a/crates/mustardpin-world/src/refusal.rs
+++ b/crates/mustardpin-world/src/refusal.rs
@@ -54,13 +54,13 @@
 reasons! {
     /// The request came without a key on a route that needs one.
     KeyMissing = "key_missing", 401;
-    /// No key with this digest was ever issued.
+    /// The node knows no key with this digest, or doesn't know the key's team.
     KeyUnknown = "key_unknown", 401;
     /// Operators have withdrawn the key.
     KeyWithdrawn = "key_withdrawn", 401;
     /// The route is not open to the key's team.
     RouteForbidden = "route_forbidden", 403;
-    /// No route matches the path.
+    /// No route matches the request's host, method and path.
     RouteUnknown = "route_unknown", 404;
     /// The call token is not one that this node issued for a call in progress.
     CallTokenInvalid = "call_token_invalid", 403;
--- a/crates/mustardpin-world/src/store.rs
+++ b/crates/mustardpin-world/src/store.rs
@@ -41,7 +41,7 @@
 /// The nodes between which the shards of teams' rates are distributed.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Roster {
-    /// The members, in the order of their names.
+    /// The members, ordered by data centre and then by name.
     pub members: Vec<Member>,
 }
 
--- a/crates/mustardpin-world/src/system/deadline.rs
+++ b/crates/mustardpin-world/src/system/deadline.rs
@@ -9,7 +9,8 @@
     world::{Tick, World},
 };
 
-/// When a caller should retry a request that did not start to run before its deadline.
+/// How long a caller should wait before it retries a request that did not start to run before its
+/// deadline.
 const RETRY_AFTER: crate::Millis = crate::Millis(500);
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
--- a/crates/mustardpin-world/src/system/ending.rs
+++ b/crates/mustardpin-world/src/system/ending.rs
@@ -9,7 +9,8 @@
     world::{Tick, World},
 };
 
-/// When a caller should retry a request that neither a target nor a peer has run.
+/// How long a caller should wait before it retries a request that neither a target nor a peer has
+/// run.
 const RETRY_AFTER_DECLINED: crate::Millis = crate::Millis(300);
 
 pub(super) fn run(world: &mut World, tick: &mut Tick) {
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -66,7 +66,8 @@
     /// Whether the store has reached a later version than the one up to which the rows of nodes
     /// were read.
     fleet_is_behind: bool,
-    is_connected: Option<bool>,
+    /// Whether the configuration was fresh in the last tick; `None` before the first one.
+    was_fresh: Option<bool>,
     store_clock: store_clock::StoreClock,
     relay: relay::State,
 }
@@ -249,11 +250,11 @@
     if fresh {
         tick.wake(tick.now + (window - age));
     }
-    if fresh == freshness.fresh && world.systems.freshness.is_connected.is_some() {
+    if fresh == freshness.fresh && world.systems.freshness.was_fresh.is_some() {
         return;
     }
     freshness.fresh = fresh;
-    let before = world.systems.freshness.is_connected.replace(fresh);
+    let before = world.systems.freshness.was_fresh.replace(fresh);
     if before == Some(fresh) || (before.is_none() && !fresh) {
         return;
     }
--- a/crates/mustardpin-world/src/system/freshness/store_clock.rs
+++ b/crates/mustardpin-world/src/system/freshness/store_clock.rs
@@ -28,6 +28,7 @@
 /// Relation of the store's clock to this node's.
 #[derive(Debug, Default)]
 pub(super) struct StoreClock {
+    /// The sample that gives the latest estimates; `None` before the first reply with a clock.
     best: Option<ClockSample>,
 }
 
--- a/crates/mustardpin-world/src/system/intake.rs
+++ b/crates/mustardpin-world/src/system/intake.rs
@@ -20,10 +20,11 @@
     world::{Tick, World},
 };
 
-/// When a caller should retry a request that came before the node had a configuration.
+/// How long a caller should wait before it retries a request that came before the node had a
+/// configuration.
 const RETRY_AFTER_START: Millis = Millis(300);
-/// When a caller should retry a request that a cut-off node refused.
-const RETRY_AFTER_CUT: Millis = Millis(1_000);
+/// How long a caller should wait before it retries a request that a cut-off node refused.
+const RETRY_AFTER_CUT_OFF: Millis = Millis(1_000);
 
 /// The properties of a new call that depend on the origin of its request.
 struct Arrival {
@@ -105,7 +106,7 @@
         Some(call) => permission::Principal { tenant: call.tenant, team: call.team },
         None => permission::check(tables, route, tenant).map_err(|reason| match reason {
             Reason::KeyMissing if is_key_unknown => Refusal::not_run(Reason::KeyUnknown),
-            Reason::CutOff => Refusal::not_run(reason).after(RETRY_AFTER_CUT),
+            Reason::CutOff => Refusal::not_run(reason).after(RETRY_AFTER_CUT_OFF),
             _ => Refusal::not_run(reason),
         })?,
     };
--- a/crates/mustardpin-world/src/system/limit/adaptive.rs
+++ b/crates/mustardpin-world/src/system/limit/adaptive.rs
@@ -27,7 +27,7 @@
 /// The limit is multiplied by this when the target declines a request.
 const DECLINED_FACTOR: f64 = 0.8;
 /// The minimum number of samples of a round.
-const ROUND_SAMPLES: u32 = 32;
+const MIN_ROUND_SAMPLES: u32 = 32;
 /// The minimum duration of a round.
 const MIN_ROUND: Millis = Millis(50);
 /// The maximum duration of a round, however few samples there are.
@@ -36,7 +36,7 @@
 /// unused.
 const MAX_PROBE: Millis = Millis(500);
 /// The minimum number of samples of a probe.
-const PROBE_SAMPLES: u32 = 48;
+const MIN_PROBE_SAMPLES: u32 = 48;
 /// The minimum time between two probes.
 const MIN_PROBE_INTERVAL: Millis = Millis(500);
 /// The minimum time between two probes while latency shows no sign of a queue, that is, while it
@@ -46,9 +46,9 @@
 const PROBE_INTERVAL_LATENCIES: f64 = 40.0;
 /// The same, after a probe that found a queue inside the target.
 const QUEUE_PROBE_INTERVAL_LATENCIES: f64 = 8.0;
-/// A probe that lowers latency below this fraction of that before it has found a queue.
+/// A probe has found a queue if it lowers latency below this fraction of the latency before it.
 const QUEUE_LATENCY_RATIO: f64 = 0.85;
-/// A higher ratio than this of the latency during a probe to that before it is noise.
+/// The maximum ratio of the latency during a probe to the latency before it. A higher one is noise.
 const MAX_LATENCY_RATIO: f64 = 1.2;
 /// The weight of a round whose latency is lower than that of the last probe.
 const DECREASE_WEIGHT: f64 = 0.2;
@@ -92,8 +92,8 @@
     round: Round,
     /// Samples before this time belong to an earlier limit.
     settled: Millis,
-    /// The latency of the last probe, in milliseconds, lowered by rounds with less; zero before the
-    /// first round.
+    /// The latency of the last probe, in milliseconds, lowered by later rounds with lower latency;
+    /// zero before the first round.
     unloaded: f64,
     /// The smoothed latency of served runs, in milliseconds; zero before the first one.
     latency: f64,
@@ -208,8 +208,8 @@
         self.round.latency_sum += latency;
         self.round.saturated += u32::from(sample.in_flight >= self.limit());
         let (samples, max_duration) = match self.phase {
-            Phase::Probe { .. } => (PROBE_SAMPLES.max(self.limit()), MAX_PROBE),
-            _ => (ROUND_SAMPLES.max(self.limit()), MAX_ROUND),
+            Phase::Probe { .. } => (MIN_PROBE_SAMPLES.max(self.limit()), MAX_PROBE),
+            _ => (MIN_ROUND_SAMPLES.max(self.limit()), MAX_ROUND),
         };
         let duration = sample.now - self.round.started_at;
         let is_complete = self.round.samples >= samples && duration >= MIN_ROUND;
--- a/crates/mustardpin-world/src/system/limit/slots.rs
+++ b/crates/mustardpin-world/src/system/limit/slots.rs
@@ -6,7 +6,8 @@
     system::limit::{Algorithm, Sample, SampleEnd},
 };
 
-/// What the limit is multiplied by after the target has declined a request.
+/// The fraction of the slots that is used is multiplied by this after the target has declined a
+/// request.
 const DECLINED_FACTOR: f64 = 0.9;
 /// The lower bound of the fraction of the slots that is used.
 const MIN_FRACTION: f64 = 0.25;
--- a/crates/mustardpin-world/src/system/permission.rs
+++ b/crates/mustardpin-world/src/system/permission.rs
@@ -39,7 +39,8 @@
 /// Checks whether a call that was allowed on arrival still is.
 pub(super) fn check_again(tables: &Tables, call: &Call) -> Result<(), Reason> {
     match (&call.key_id, call.route) {
-        // The peer that forwarded the call has checked its route; the key may be withdrawn since.
+        // The peer that forwarded the call has checked its route; the key may have been withdrawn
+        // since.
         (Some(id), _) => check_id(tables, id),
         (None, Some(route)) if call.from.is_none() => check(tables, route, call.tenant).map(|_| ()),
         _ => Ok(()),
--- a/crates/mustardpin-world/src/system/queueing.rs
+++ b/crates/mustardpin-world/src/system/queueing.rs
@@ -1,9 +1,10 @@
 //! Queues calls until the local target has a free slot, and dispatches them.
 //!
 //! The more important calls go first. A call that a target makes in the course of another request
-//! has that request's importance; where the target does not say which one it is, the call goes
-//! before all others, since refusing it wastes work of unknown importance. A call that would have
-//! to wait too long is refused at once, while its entry node can still try another target.
+//! has that request's importance; if the target sends no call token, that request is unknown and
+//! the call goes before all others, since refusing it wastes work of unknown importance. A call
+//! that would have to wait too long is refused at once, while its entry node can still try another
+//! target.
 
 mod codel;
 mod fair;
@@ -32,7 +33,7 @@
 
 /// A run that has not reached the target within this time after its dispatch must not start.
 const START_TIMEOUT: Millis = Millis(500);
-/// The time between two searches of the whole queue for calls that have waited too long.
+/// The time between two searches of the whole queue for calls to refuse.
 const SWEEP_INTERVAL: Millis = Millis(50);
 /// How long a caller should wait before it retries a refused request.
 const RETRY_AFTER: Millis = Millis(500);
@@ -179,8 +180,8 @@
     wait > max_wait(options, call) || now + wait + min_run_time(world, now) > call.deadline
 }
 
-/// Refuses calls that have waited too long, and removes those that have ended, for example because
-/// their caller has gone.
+/// Refuses calls that are too late for their deadline or, if the options say so, have waited too
+/// long. Removes calls that have ended, for example because their caller has disconnected.
 fn sweep(world: &mut World, tick: &mut Tick) {
     if world.systems.queueing.discipline.len() == 0 {
         return;
--- a/crates/mustardpin-world/src/system/resend.rs
+++ b/crates/mustardpin-world/src/system/resend.rs
@@ -1,7 +1,7 @@
 //! Recognises client retries of failed root requests, and limits them by team.
 //!
 //! Non-repeatable requests are not limited: their callers retry them only after a refusal that
-//! says that they have not run.
+//! reports that they have not run.
 
 use crate::{
     clock::Millis,
--- a/crates/mustardpin-world/src/system/retry.rs
+++ b/crates/mustardpin-world/src/system/retry.rs
@@ -30,8 +30,8 @@
 /// How often a call may be rerouted for free because no target has received it.
 const MAX_REROUTES: u32 = 3;
 
-/// The fraction of the fleet's retry budget that is spent on requests for a service themselves. The
-/// rest is for the calls that a retry makes again to the services below.
+/// The fraction of the fleet's retry budget that pays for the retries themselves. The rest is for
+/// the calls that a retry makes again to the services below.
 const OWN_SHARE: f64 = 0.3;
 
 /// The budget that a retry is paid from.
@@ -194,7 +194,8 @@
     }
 }
 
-/// Returns a call to routing. Returns false if it may not be retried or has nowhere else to go.
+/// Moves a call back to routing. Returns false if it may not be retried or has no other
+/// destination.
 fn retry_elsewhere(world: &mut World, tick: &mut Tick, key: CallKey, cause: Cause) -> bool {
     let Some(call) = world.tables.calls.get_mut(key) else { return false };
     if call.abandoned || call.cancelling || call.deadline <= tick.now {
--- a/crates/mustardpin-world/src/system/retry/ratio.rs
+++ b/crates/mustardpin-world/src/system/retry/ratio.rs
@@ -2,7 +2,7 @@
 
 use crate::system::retry::{Budget, Policy};
 
-/// A retry costs one retry token of the service. Retries in a chain of calls are not limited.
+/// A retry costs one retry token of the service. There is no limit for a whole chain of calls.
 #[derive(Debug)]
 pub(super) struct Ratio;
 
--- a/crates/mustardpin-world/src/system/retry/unbounded.rs
+++ b/crates/mustardpin-world/src/system/retry/unbounded.rs
@@ -1,4 +1,5 @@
-//! No limit on the retries of callers and targets; the system itself retries nothing.
+//! No limit on the retries of callers and targets; the system itself reroutes only calls that no
+//! target has received.
 
 use crate::system::retry::{Budget, Policy};
 
--- a/crates/mustardpin-world/src/system/shedding.rs
+++ b/crates/mustardpin-world/src/system/shedding.rs
@@ -37,8 +37,9 @@
 
 /// The minimum time between two broadcasts of a changed demand to all peers.
 const MIN_BROADCAST_INTERVAL: Millis = Millis(200);
-/// From this demand on, in thousandths, changes are broadcast to all peers: they shed requests by
-/// it, and a peer that sends this node no requests gets no load with the responses.
+/// From this demand on, in thousandths of capacity, changes are broadcast to all peers: peers shed
+/// requests according to the demand, and a peer that sends this node no requests gets no load with
+/// the responses.
 const BROADCAST_DEMAND: u32 = 850;
 /// The minimum change of demand, in thousandths, that is broadcast.
 const MIN_BROADCAST_CHANGE: u32 = 50;
--- a/crates/mustardpin-world/src/system/shedding/route_cost.rs
+++ b/crates/mustardpin-world/src/system/shedding/route_cost.rs
@@ -136,8 +136,8 @@
     }
 }
 
-/// How long a run of a route occupies a slot of the local target, or elsewhere if it did not run
-/// here.
+/// How long a run of a route occupies a slot of the local target or, if it has not run here, of
+/// other targets by the reports of peers.
 pub(super) fn slot_time(world: &World, route: RouteKey) -> Option<Millis> {
     let name = &world.tables.routes.get(route)?.config.name;
     let runs = world.systems.shedding.route_cost.runs.iter();
--- a/crates/mustardpin-world/src/system/shedding/target_load.rs
+++ b/crates/mustardpin-world/src/system/shedding/target_load.rs
@@ -14,7 +14,8 @@
 const UPDATE_INTERVAL: Millis = Millis(50);
 /// The weight of the last interval in the smoothed demand.
 const SMOOTHING_WEIGHT: f64 = 0.25;
-/// How many slots a queued call adds to the demand. One call per slot time adds one.
+/// How many slots a queued call adds to the demand. Calls that arrive at a rate of one per slot
+/// time add one slot.
 const QUEUED_WEIGHT: f64 = 0.5;
 
 /// The fraction of the limit from which on the target counts as full.
--- a/crates/mustardpin-world/src/system/stop.rs
+++ b/crates/mustardpin-world/src/system/stop.rs
@@ -1,5 +1,5 @@
-//! Publishes the node's readiness, and drains the node before it exits, so that no request is cut
-//! off.
+//! Publishes the node's readiness, and drains the node before it exits, so that no request is
+//! aborted.
 
 use crate::{
     clock::Millis,
@@ -70,8 +70,8 @@
     tick.commands.push(Command::Ready(ready));
 }
 
-/// Exits once a leaving node has waited for peers and callers to notice and has finished all calls,
-/// or once its grace time ends.
+/// Exits once a draining node has waited for peers and callers to notice and has finished all
+/// calls, or once its grace time ends.
 pub(super) fn drain(world: &mut World, tick: &mut Tick) {
     update_readiness(world, tick);
     if !world.tables.leaving {
--- a/crates/mustardpin-world/src/table.rs
+++ b/crates/mustardpin-world/src/table.rs
@@ -74,8 +74,8 @@
     pub age: Millis,
     /// Whether that age is within [`crate::options::Freshness::window`].
     pub fresh: bool,
-    /// Whether the node is cut off: the configuration isn't fresh, so the node may no longer accept
-    /// keys by it.
+    /// Whether the node is cut off: the configuration isn't fresh and
+    /// [`crate::options::Freshness::strict`] is set, so the node may no longer accept keys by it.
     pub is_cut_off: bool,
     /// Whether the age of the rows of nodes is within the same window.
     pub fleet_fresh: bool,
--- a/crates/mustardpin-world/src/table/call.rs
+++ b/crates/mustardpin-world/src/table/call.rs
@@ -68,7 +68,7 @@
     pub may_have_run: bool,
     /// How many attempts may have reached a target.
     pub sent_attempts: u32,
-    /// How often it was routed anew after a refusal before it reached any target.
+    /// How often it was rerouted for free because no target had received it.
     pub reroutes: u32,
     /// Whether this node's target was tried and failed, or stopped taking requests.
     pub local_tried: bool,
@@ -129,7 +129,7 @@
     pub peer: Option<PeerKey>,
     /// Peers at which it failed or was refused.
     pub tried: SmallVec<[PeerKey; 4]>,
-    /// Whether its caller has disconnected.
+    /// Whether its caller no longer waits: the caller disconnected, or the parent call ended.
     pub abandoned: bool,
     /// Whether an attempt is being cancelled.
     pub cancelling: bool,
--- a/crates/mustardpin-world/src/table/counter.rs
+++ b/crates/mustardpin-world/src/table/counter.rs
@@ -46,7 +46,7 @@
 /// A kind of work that is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub enum Work {
-    /// Requests accepted.
+    /// Requests that arrived, including those that the world then refused.
     #[display("accepted")]
     Accepted,
     /// Requests sent to the local target.
--- a/crates/mustardpin-world/src/table/health.rs
+++ b/crates/mustardpin-world/src/table/health.rs
@@ -8,7 +8,7 @@
 const UNREACHABLE_POINTS: u32 = 2;
 /// The points of a truncated or malformed response: the target may still serve other requests.
 const BROKEN_POINTS: u32 = 1;
-/// The duration of the first ejection. Each later one lasts twice as long as the one before.
+/// The duration of an ejection at [`EJECTION_THRESHOLD`] points. Each further point doubles it.
 const MIN_EJECTION: Millis = Millis(500);
 /// The maximum duration of an ejection.
 const MAX_EJECTION: Millis = Millis::from_secs(8);
--- a/crates/mustardpin-world/src/table/rate_limit.rs
+++ b/crates/mustardpin-world/src/table/rate_limit.rs
@@ -119,8 +119,8 @@
 }
 
 impl Bucket {
-    /// Takes up to `wanted` whole tokens. Returns their number and, for a caller that got fewer
-    /// than wanted, the time until the next token.
+    /// Takes up to `wanted` whole tokens. Returns their number and the time until the next token,
+    /// which matters if there were fewer than wanted.
     pub fn take(
         &mut self,
         parameters: &BucketParameters,
--- a/crates/mustardpin-world/src/table/target.rs
+++ b/crates/mustardpin-world/src/table/target.rs
@@ -23,7 +23,8 @@
     pub sustained_limit: u32,
     /// The measured duration of a served run, smoothed.
     pub latency: Millis,
-    /// The call that runs alone, since it may crash the target.
+    /// The call that runs as a trial, since it may crash the target: no other suspect that needs a
+    /// trial runs beside it.
     pub trial: Option<CallKey>,
     /// The target's failures on the traffic path.
     pub health: Health,
--- a/crates/mustardpin-world/tests/testsuite/rate_limit.rs
+++ b/crates/mustardpin-world/tests/testsuite/rate_limit.rs
@@ -55,7 +55,7 @@
             let (tokens, _) = bucket.take(&parameters, now, wanted);
             granted += u64::from(tokens) * TOKEN;
             let refill = now.0 * u64::from(rate) * (TOKEN / 1_000) / u64::from(parameters.parts);
-            prop_assert!(granted <= refill, "an empty bucket has only what it gained");
+            prop_assert!(granted <= refill, "a bucket that starts empty grants only its refill");
         }
     }
 
