--- a/crates/mustardpin-world/src/system/shedding/admission.rs
+++ b/crates/mustardpin-world/src/system/shedding/admission.rs
@@ -18,7 +18,7 @@
     refusal::{Reason, Refusal},
     system::shedding,
     table::{
-        demand::{Load, Offer, RequestClass},
+        demand::{Offer, RequestClass, ServiceCosts},
         peer::Link,
         team::Teams,
     },
@@ -164,14 +164,14 @@
         world.tables.demand.offers.keys().map(|class| class.route).collect();
     for route in routes {
         let load = estimate_load(world, route);
-        world.tables.demand.loads.insert(route, load);
+        world.tables.demand.service_costs.insert(route, load);
     }
 }
 
 /// The slot time, in milliseconds, that a run of a route costs each service, with all the calls
 /// below it. Descends level by level, so that estimates in which routes call each other in a cycle
 /// take no longer to evaluate than others.
-fn estimate_load(world: &World, route: RouteKey) -> Load {
+fn estimate_load(world: &World, route: RouteKey) -> ServiceCosts {
     let tables = &world.tables;
     let mut load: BTreeMap<ServiceKey, f64> = BTreeMap::new();
     let mut level = BTreeMap::from([(route, 1.0)]);
@@ -232,7 +232,7 @@
         }
     }
     for (service, share) in overloaded {
-        let cost = |route: RouteKey| cost_of(demand.loads.get(route), service);
+        let cost = |route: RouteKey| cost_of(demand.service_costs.get(route), service);
         let requested: Vec<ClassWork> = demand
             .offers
             .iter()
@@ -247,7 +247,7 @@
     }
 }
 
-fn cost_of(load: Option<&Load>, service: ServiceKey) -> f64 {
+fn cost_of(load: Option<&ServiceCosts>, service: ServiceKey) -> f64 {
     let load = load.into_iter().flatten();
     load.filter(|(other, _)| *other == service).map(|(_, cost)| cost).sum()
 }
--- a/crates/mustardpin-world/src/table/demand.rs
+++ b/crates/mustardpin-world/src/table/demand.rs
@@ -21,7 +21,7 @@
 }
 
 /// The slot time, in milliseconds, that a request at the root of a call chain costs each service.
-pub type Load = Vec<(ServiceKey, f64)>;
+pub type ServiceCosts = Vec<(ServiceKey, f64)>;
 
 /// A class of root requests that are admitted with the same probability. Ordered by importance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -49,7 +49,7 @@
     /// The cost of a run, by the route's name.
     pub costs: BTreeMap<CompactString, Cost>,
     /// The cost of a root request for each route, including all the calls below it.
-    pub loads: SecondaryMap<RouteKey, Load>,
+    pub service_costs: SecondaryMap<RouteKey, ServiceCosts>,
     /// The demand for root requests at this node.
     pub offers: BTreeMap<RequestClass, Offer>,
 }
