--- a/crates/mustardpin-world/src/system/fleet.rs
+++ b/crates/mustardpin-world/src/system/fleet.rs
@@ -1,4 +1,4 @@
-//! Keeps the table of peers, from rows in the store and from connections.
+//! Maintains the table of peers from rows in the store and from connections.
 //!
 //! Every node has a row in the store with its address. Rows never expire; instead, when peers
 //! cannot reach a node any more, one of them removes its row. A node that finds its own row removed
--- a/crates/mustardpin-world/src/system/freshness.rs
+++ b/crates/mustardpin-world/src/system/freshness.rs
@@ -18,9 +18,9 @@
     world::{Tick, World},
 };
 
-/// Wait of the long poll for rows of nodes, which change seldom. The store version in a reply about
-/// the configuration also shows whether they may have changed.
-const FLEET_LONG_POLL: Millis = Millis(20_000);
+/// Maximum wait of the long poll for rows of nodes, which change seldom. The store version in a
+/// reply about the configuration also shows whether they may have changed.
+const FLEET_LONG_POLL_WAIT: Millis = Millis(20_000);
 /// Backoff after a query without a usable reply; random jitter of up to the same length is added.
 const LOST_BACKOFF: Millis = Millis(60);
 /// Backoff after a refused query; random jitter of up to the same length is added.
@@ -192,8 +192,8 @@
         let (operation, wait) = match world.systems.fleet.read_up_to {
             None => (Operation::Read(Area::Fleet), Millis::ZERO),
             Some(after) => (
-                Operation::Watch { area: Area::Fleet, after, wait: FLEET_LONG_POLL },
-                FLEET_LONG_POLL,
+                Operation::Watch { area: Area::Fleet, after, wait: FLEET_LONG_POLL_WAIT },
+                FLEET_LONG_POLL_WAIT,
             ),
         };
         let query = send_query(world, tick, operation, wait);
--- a/crates/mustardpin-world/src/system/freshness/store_clock.rs
+++ b/crates/mustardpin-world/src/system/freshness/store_clock.rs
@@ -3,7 +3,8 @@
 //! The store's clock and this node's run at the same rate but have different origins. The store
 //! reads its clock after the node sent the query, so that reading is no earlier than the sending.
 //! One such pair gives each later reading of the store's clock an earliest time on this node's
-//! clock. The reply to a query that the store held for seconds then counts nearly as of its sending.
+//! clock. The reply to a query that the store held for seconds then counts nearly as of the time
+//! at which the store sent it.
 
 use crate::clock::Millis;
 
--- a/crates/mustardpin-world/src/system/rate_limit/leasing.rs
+++ b/crates/mustardpin-world/src/system/rate_limit/leasing.rs
@@ -211,11 +211,11 @@
         .filter_map(|shard| {
             let (data_centre, name) = policy.shard_owner(roster, own, team, shard)?;
             let is_own = name == own.name();
-            let is_near = data_centre == own.data_centre();
+            let is_local = data_centre == own.data_centre();
             // Nodes begin with different shards, so that they don't all drain the same bucket.
             let order = (u64::from(shard.0) + rotation) % shards;
             let member = (!is_own).then(|| name.clone());
-            Some(((!is_own, Reverse(is_near), order), ShardOwner { shard, member }))
+            Some(((!is_own, Reverse(is_local), order), ShardOwner { shard, member }))
         })
         .collect();
     owners.sort_by_key(|(proximity, _)| *proximity);
--- a/crates/mustardpin-world/src/system/roster.rs
+++ b/crates/mustardpin-world/src/system/roster.rs
@@ -1,7 +1,7 @@
 //! Keeps the roster equal to the nodes that have rows in the store.
 //!
 //! Any node may propose a roster; of concurrent proposals, the store accepts one. A node that is
-//! away for a short time changes nothing: it keeps its row, and so its membership.
+//! down for a short time does not change the roster: it keeps its row, and so its membership.
 
 use crate::{
     clock::Millis,
--- a/crates/mustardpin-world/src/system/shedding/admission.rs
+++ b/crates/mustardpin-world/src/system/shedding/admission.rs
@@ -87,7 +87,7 @@
     let was_shedding = world.systems.shedding.admission.is_shedding;
     world.systems.shedding.admission.is_shedding = is_shedding;
     if is_shedding {
-        estimate_loads(world);
+        estimate_all_service_costs(world);
         update_offers(world);
         tick.wake(tick.now + UPDATE_INTERVAL);
     }
@@ -159,21 +159,21 @@
 }
 
 /// Estimates what a request for each requested route costs each service.
-fn estimate_loads(world: &mut World) {
+fn estimate_all_service_costs(world: &mut World) {
     let routes: BTreeSet<RouteKey> =
         world.tables.demand.offers.keys().map(|class| class.route).collect();
     for route in routes {
-        let load = estimate_load(world, route);
-        world.tables.demand.service_costs.insert(route, load);
+        let estimate = estimate_service_costs(world, route);
+        world.tables.demand.service_costs.insert(route, estimate);
     }
 }
 
 /// The slot time, in milliseconds, that a run of a route costs each service, with all the calls
 /// below it. Descends level by level, so that estimates in which routes call each other in a cycle
 /// take no longer to evaluate than others.
-fn estimate_load(world: &World, route: RouteKey) -> ServiceCosts {
+fn estimate_service_costs(world: &World, route: RouteKey) -> ServiceCosts {
     let tables = &world.tables;
-    let mut load: BTreeMap<ServiceKey, f64> = BTreeMap::new();
+    let mut estimate: BTreeMap<ServiceKey, f64> = BTreeMap::new();
     let mut level = BTreeMap::from([(route, 1.0)]);
     for _ in 0..MAX_CALL_DEPTH {
         let mut next_level: BTreeMap<RouteKey, f64> = BTreeMap::new();
@@ -183,7 +183,7 @@
             let weights: f64 = row.parts.iter().map(|part| f64::from(part.weight)).sum();
             for part in &row.parts {
                 let share = f64::from(part.weight) / weights.max(1.0);
-                *load.entry(part.service).or_default() += cost.slot_time * runs * share;
+                *estimate.entry(part.service).or_default() += cost.slot_time * runs * share;
             }
             for (name, calls) in &cost.calls {
                 if let Some(called) = tables.routes.by_name(name) {
@@ -195,7 +195,7 @@
         next_level.values_mut().for_each(|runs| *runs = runs.min(MAX_RUNS));
         level = next_level;
     }
-    load.into_iter().collect()
+    estimate.into_iter().collect()
 }
 
 /// The work that requests of one class demand.
@@ -247,9 +247,9 @@
     }
 }
 
-fn cost_of(load: Option<&ServiceCosts>, service: ServiceKey) -> f64 {
-    let load = load.into_iter().flatten();
-    load.filter(|(other, _)| *other == service).map(|(_, cost)| cost).sum()
+fn cost_of(estimate: Option<&ServiceCosts>, service: ServiceKey) -> f64 {
+    let estimate = estimate.into_iter().flatten();
+    estimate.filter(|(other, _)| *other == service).map(|(_, cost)| cost).sum()
 }
 
 /// Divides the fraction `share` of all work among classes of request, and returns the fraction of
--- a/crates/mustardpin-world/src/system/target.rs
+++ b/crates/mustardpin-world/src/system/target.rs
@@ -62,7 +62,7 @@
         || !target.present
         || target.report.draining != report.draining
         || target.report.slots != report.slots;
-    let endpoint =
+    let target_address =
         TargetAddress { address: report.address.clone(), instance: report.instance.clone() };
     let has_moved = is_new || !target.present || target.report.address != report.address;
     target.present = true;
@@ -73,7 +73,7 @@
         target.health.record_success();
     }
     if has_moved {
-        tick.commands.push(Command::Target(Some(endpoint)));
+        tick.commands.push(Command::Target(Some(target_address)));
     }
     if is_change {
         log_target(world, tick, "target_reported");
--- a/crates/mustardpin-world/src/table/call.rs
+++ b/crates/mustardpin-world/src/table/call.rs
@@ -34,7 +34,7 @@
     Forwarded,
 }
 
-const STAGES: usize = 6;
+const STAGE_COUNT: usize = 6;
 
 impl Stage {
     /// The stage's name in log entries.
@@ -152,7 +152,7 @@
     by_ticket: HashMap<Ticket, CallKey, RandomState>,
     by_token: HashMap<CallToken, CallKey, RandomState>,
     deadlines: BinaryHeap<Reverse<(Millis, CallKey)>>,
-    work: [Vec<CallKey>; STAGES],
+    work: [Vec<CallKey>; STAGE_COUNT],
 }
 
 impl Calls {
