--- a/crates/mustardpin-node/src/admin.rs
+++ b/crates/mustardpin-node/src/admin.rs
@@ -1,7 +1,7 @@
 //! The administration API that every node serves to operators.
 //!
-//! [`AdminService`] responds to one request at a time with data from [`Control`]; [`crate::server`]
-//! serves it on a listener. Paths and bodies are those of [`mustardpin_wire::admin`].
+//! [`AdminService`] responds to requests with data from [`Control`]; [`crate::server`] serves it on
+//! a listener. Paths and bodies are those of [`mustardpin_wire::admin`].
 
 mod bridge;
 
--- a/crates/mustardpin-node/src/control/thread.rs
+++ b/crates/mustardpin-node/src/control/thread.rs
@@ -17,7 +17,7 @@
     traffic::TrafficCommand,
 };
 
-/// The maximum number of events before a tick starts.
+/// A tick starts once this many events have been received, even if more are waiting.
 const MAX_BATCH: usize = 1_024;
 /// The minimum time of one wait for input, however soon the world's next wake-up is due.
 const MIN_WAIT: Millis = Millis(1);
--- a/crates/mustardpin-node/src/launch.rs
+++ b/crates/mustardpin-node/src/launch.rs
@@ -30,7 +30,7 @@
     pub addresses: Addresses,
     /// The digest of the credential that all nodes of the fleet share.
     pub fleet_credential: KeyDigest,
-    /// The digest of the credential that operators show.
+    /// The digest of the credential that operators must present.
     pub operator_credential: KeyDigest,
     /// The dialect that callers and targets use.
     pub dialect: Arc<dyn Dialect>,
@@ -118,26 +118,26 @@
 /// The addresses that a node listens on. Port zero takes any free port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// HTTP from callers.
+    /// For HTTP requests from callers.
     pub callers: SocketAddr,
-    /// HTTP from the local target: its reports and the calls it makes.
+    /// For HTTP requests from the local target: its reports and the calls it makes.
     pub local: Option<SocketAddr>,
-    /// HTTP from the local target: its reports only.
+    /// For HTTP requests from the local target: its reports only.
     pub reports: Option<SocketAddr>,
-    /// Readiness checks.
+    /// For readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Requests and messages from peers.
+    /// For requests and messages from peers.
     pub peers: SocketAddr,
-    /// The address at which other nodes reach `peers`, if it is another one.
+    /// The address at which other nodes reach `peers`, if it differs from `peers`.
     pub announced: Option<SocketAddr>,
-    /// The administration API.
+    /// For the administration API.
     pub admin: Option<SocketAddr>,
-    /// Counters and histograms, for metrics collectors.
+    /// For metrics collectors, which read counters, gauges and histograms.
     pub metrics: Option<SocketAddr>,
 }
 
 impl Addresses {
-    /// Returns free ports of the loopback interface.
+    /// Returns loopback addresses with port zero.
     ///
     /// ```
     /// assert!(mustardpin_node::launch::Addresses::loopback().callers.ip().is_loopback());
@@ -188,7 +188,7 @@
 
 impl Limits {
     /// Returns the limits for callers' requests that hold where the configuration sets none.
-    pub(crate) fn callers(&self) -> CallerLimits {
+    pub(crate) fn caller_limits(&self) -> CallerLimits {
         let millis = |length: Duration| Millis(length.as_millis() as u64);
         CallerLimits {
             header_size: u32::try_from(self.header_size).unwrap_or(u32::MAX),
--- a/crates/mustardpin-node/src/metrics.rs
+++ b/crates/mustardpin-node/src/metrics.rs
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// If the encoder fails; it does not for the metrics' names.
+/// If the encoder fails, which does not occur for the names of these metrics.
 ///
 /// ```
 /// use mustardpin_node::metrics::{Snapshot, encode};
--- a/crates/mustardpin-node/src/traffic/caller.rs
+++ b/crates/mustardpin-node/src/traffic/caller.rs
@@ -152,7 +152,7 @@
                 }
             }
             self.start_ready_responses(&mut writing);
-            if writing.write(&mut writer)? && self.is_over(&writing) {
+            if writing.write(&mut writer)? && self.can_close(&writing) {
                 return Ok(Protocol::Http1);
             }
             self.wait(&mut reader, &mut writer, buffer, &mut reading, &mut writing).await?;
@@ -160,7 +160,7 @@
     }
 
     /// Whether the connection can be closed.
-    fn is_over(&self, writing: &Writing) -> bool {
+    fn can_close(&self, writing: &Writing) -> bool {
         writing.is_truncated() || (self.is_closing && self.slots.is_empty() && writing.is_idle())
     }
 
@@ -271,7 +271,7 @@
 
     /// When the connection's current timeout expires.
     fn deadline(&self, reading: &Reading, writing: &Writing) -> Instant {
-        let callers = self.exchanges.callers();
+        let callers = self.exchanges.caller_limits();
         let far_future = Instant::now() + Duration::from_secs(3_600);
         if let Some(since) = reading.since() {
             let timeout = match reading.is_in_body() {
@@ -284,11 +284,11 @@
             return far_future;
         }
         let is_leaving = *self.stage.borrow() != Stage::Serving;
-        let linger = match is_leaving {
+        let max_idle_time = match is_leaving {
             true => self.exchanges.limits.drain_idle_timeout,
             false => duration(callers.idle_timeout),
         };
-        self.idle_since + linger
+        self.idle_since + max_idle_time
     }
 
     /// Handles an expired timeout of the connection.
@@ -299,7 +299,7 @@
         }
     }
 
-    /// The port that the dialect assigns to requests of this connection.
+    /// The port that is passed to the dialect with requests of this connection.
     fn port(&self) -> Port {
         match self.kind {
             ListenerKind::Local => Port::Local,
--- a/crates/mustardpin-node/src/traffic/caller/reading.rs
+++ b/crates/mustardpin-node/src/traffic/caller/reading.rs
@@ -88,7 +88,7 @@
         buffer: &mut BytesMut,
         writing: &mut Writing,
     ) -> bool {
-        let limit = connection.exchanges.callers().header_size as usize;
+        let limit = connection.exchanges.caller_limits().header_size as usize;
         let head = match Request::take(buffer, limit) {
             Ok(Some(head)) => head,
             Ok(None) => {
@@ -105,7 +105,7 @@
             Ok(framing) => framing,
             Err(error) => return refuse(connection, reason_of(error)),
         };
-        let limit = connection.exchanges.callers().body_size;
+        let limit = connection.exchanges.caller_limits().body_size;
         if matches!(framing, Framing::Length(length) if length > limit) {
             return refuse(connection, Reason::BodyTooLarge);
         }
@@ -147,7 +147,7 @@
             match incoming.decoder.take(buffer) {
                 Ok(Decoded::Data(bytes)) => {
                     incoming.received_bytes += bytes.len() as u64;
-                    if incoming.received_bytes > exchanges.callers().body_size {
+                    if incoming.received_bytes > exchanges.caller_limits().body_size {
                         exchanges.release_bytes(incoming.reserved_bytes);
                         return refuse(connection, Reason::BodyTooLarge);
                     }
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Inserts a request whose body is too large to buffer into `Exchanges`.
+    /// Starts streaming a body that is too large to buffer, and inserts its request into
+    /// `Exchanges`.
     fn begin_streaming(
         &mut self,
         connection: &mut Connection,
@@ -208,7 +209,7 @@
         buffer: &mut BytesMut,
         mut request: StreamedRequest,
     ) -> bool {
-        let limit = connection.exchanges.callers().body_size;
+        let limit = connection.exchanges.caller_limits().body_size;
         loop {
             if let Some(piece) = request.pending.take() {
                 let is_end = matches!(piece, Piece::End(_));
--- a/crates/mustardpin-node/src/traffic/dispatch.rs
+++ b/crates/mustardpin-node/src/traffic/dispatch.rs
@@ -64,7 +64,7 @@
                 exchanges.links.publish(load.into());
             }
         }
-        TrafficCommand::CallerLimits(callers) => exchanges.set_callers(callers),
+        TrafficCommand::CallerLimits(callers) => exchanges.set_caller_limits(callers),
         TrafficCommand::Ready(ready) => exchanges.set_ready(ready),
         TrafficCommand::CloseIdle => exchanges.advance_stage(Stage::Leaving),
         TrafficCommand::Exit => exchanges.advance_stage(Stage::Exiting),
--- a/crates/mustardpin-node/src/traffic/exchanges.rs
+++ b/crates/mustardpin-node/src/traffic/exchanges.rs
@@ -79,7 +79,7 @@
             target: Target::new(),
             links: Links::new(credentials),
             table: Mutex::default(),
-            callers: Mutex::new(limits.callers()),
+            callers: Mutex::new(limits.caller_limits()),
             load: Mutex::default(),
             ready: AtomicBool::new(false),
             buffered_bytes: AtomicUsize::new(0),
@@ -129,11 +129,11 @@
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    pub(super) fn callers(&self) -> CallerLimits {
+    pub(super) fn caller_limits(&self) -> CallerLimits {
         *self.callers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn set_callers(&self, callers: CallerLimits) {
+    pub(super) fn set_caller_limits(&self, callers: CallerLimits) {
         *self.callers.lock().unwrap_or_else(PoisonError::into_inner) = callers;
     }
 
@@ -198,7 +198,7 @@
         self.outbox.push(Event::RunEnded(ticket, end));
     }
 
-    /// Ends a request that was forwarded to a peer. `response` is the complete response, if there
+    /// Ends an attempt that was forwarded to a peer. `response` is the complete response, if there
     /// is one.
     pub(super) fn forward_ended(
         &self,
--- a/crates/mustardpin-node/src/traffic/http2.rs
+++ b/crates/mustardpin-node/src/traffic/http2.rs
@@ -59,7 +59,7 @@
 ) {
     let (reader, writer) = stream.into_split();
     let io = TokioIo::new(join(Cursor::new(buffer).chain(reader), writer));
-    let header_size = exchanges.callers().header_size;
+    let header_size = exchanges.caller_limits().header_size;
     let service = service_fn(move |request| respond(Arc::clone(&exchanges), kind, request));
     let connection = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
@@ -132,7 +132,7 @@
     head: &head::Request,
     mut incoming: Incoming,
 ) -> Result<Body, Reason> {
-    let limit = exchanges.callers().body_size;
+    let limit = exchanges.caller_limits().body_size;
     let length = incoming.size_hint().exact();
     if incoming.size_hint().lower() > limit {
         return Err(Reason::BodyTooLarge);
--- a/crates/mustardpin-node/src/traffic/link.rs
+++ b/crates/mustardpin-node/src/traffic/link.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Queries a seed address periodically and reports the node that replies to the control thread.
+/// Queries a seed address periodically. Reports to the control thread which node replies.
 pub async fn discover(exchanges: Arc<Exchanges>, seed: SocketAddr) {
     query_seed(&exchanges, seed).await;
 }
--- a/crates/mustardpin-node/src/traffic/link/outgoing.rs
+++ b/crates/mustardpin-node/src/traffic/link/outgoing.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 struct Stream {
     ticket: Ticket,
-    /// The byte offset of its frame in the connection's output.
+    /// The byte offset of the request's frame in the connection's output.
     frame_offset: u64,
     /// The sending end of a response body that is being streamed, and the response's status.
     response: Option<(Writer, u16)>,
@@ -471,7 +471,7 @@
     }
 }
 
-/// Queries a seed address periodically and reports the node that replies to the control thread.
+/// Queries a seed address periodically. Reports to the control thread which node replies.
 pub(in crate::traffic) async fn query_seed(exchanges: &Exchanges, seed: SocketAddr) {
     loop {
         let reply = time::timeout(CONNECT_TIMEOUT, query(exchanges, seed)).await;
--- a/crates/mustardpin-node/src/traffic/target/run.rs
+++ b/crates/mustardpin-node/src/traffic/target/run.rs
@@ -40,8 +40,8 @@
 /// be replaced by that of a retry. Larger responses are streamed.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// If a reused connection ends this soon after a request was written, the target had closed the
-/// connection before and has not read the request.
+/// If a reused connection ends within this time after an exchange began, it is assumed that the
+/// target had closed the connection before and has not read the request.
 const STALE_CONNECTION_WINDOW: Millis = Millis(10);
 
 /// Why there is no complete response.
@@ -421,9 +421,12 @@
 
 /// The part of a streamed request body that is being sent.
 struct Sending {
+    /// The current piece as it is written to the connection.
     chunk: Vec<u8>,
+    /// The number of bytes of `chunk` that were written.
     sent: usize,
     is_chunked: bool,
+    /// Whether the last piece was loaded into `chunk`.
     is_done: bool,
 }
 
@@ -447,6 +450,7 @@
         }
     }
 
+    /// Whether the whole body was written.
     fn is_done(&self) -> bool {
         self.is_done && self.sent >= self.chunk.len()
     }
--- a/crates/mustardpin-wire/src/admin.rs
+++ b/crates/mustardpin-wire/src/admin.rs
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Acceptance {
-    /// The revision at which it was written.
+    /// The revision at which the change was written.
     pub revision: u64,
 }
 
--- a/crates/mustardpin-wire/src/frame.rs
+++ b/crates/mustardpin-wire/src/frame.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The digest of the request.
+    /// The digest that identifies client retries of the request.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint(self.fingerprint)
     }
@@ -312,7 +312,7 @@
     Load(LoadReport),
     /// A message between worlds.
     Message(message::Message),
-    /// Checks that the peer responds; it replies with `Pong`.
+    /// Checks that the peer responds. The peer replies with `Pong`.
     Ping,
     /// The reply to `Ping`.
     Pong,
--- a/crates/mustardpin-wire/src/message.rs
+++ b/crates/mustardpin-wire/src/message.rs
@@ -24,7 +24,11 @@
     Node(std::num::ParseIntError),
 }
 
-/// A message between two nodes.
+/// A message between two nodes. Durations are in milliseconds.
+///
+/// `AskFreshness` and `TellFreshness` are a freshness query and its reply. `Draw` holds lease
+/// requests as (team, shard, wanted tokens), and `Grant` the lease grants as (tokens, time until the
+/// next token).
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[allow(missing_docs, reason = "mirrors the messages of mustardpin_world::message")]
@@ -48,6 +52,7 @@
 #[allow(missing_docs, reason = "mirrors mustardpin_world::message::shedding")]
 pub struct Cost {
     pub route: CompactString,
+    /// The slot time, in milliseconds.
     pub hold: u64,
     pub calls: Vec<(CompactString, f32)>,
 }
--- a/crates/mustardpin-wire/src/native.rs
+++ b/crates/mustardpin-wire/src/native.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// The token after `Bearer` in the `Authorization` header; `None` without the header, or with
-/// another scheme.
+/// The key after `Bearer` in the `Authorization` header; `None` without the header, with another
+/// scheme or with an empty key.
 fn bearer(headers: &Headers) -> Result<Option<&str>, RequestError> {
     let Some(text) = single_value(headers, "authorization")? else { return Ok(None) };
     let Some((scheme, key)) = text.split_once(' ') else { return Ok(None) };
--- a/crates/mustardpin-wire/tests/testsuite/frame.rs
+++ b/crates/mustardpin-wire/tests/testsuite/frame.rs
@@ -141,7 +141,7 @@
     assert!(frame::encode(&mut out, &Head::Ping, &[&payload]).is_err());
     assert_eq!(out, b"before");
     let mut buffer = BytesMut::from(&u32::MAX.to_be_bytes()[..]);
-    let error = frame::decode(&mut buffer).expect_err("it is too large");
+    let error = frame::decode(&mut buffer).expect_err("the frame is too large");
     insta::assert_snapshot!(error, @"the frame is too large: 4294967295 bytes");
 }
 
@@ -158,6 +158,6 @@
         Hello { version: PROTOCOL_VERSION, credential: [9; 32], announcement, to: 8, revision: 5 };
     let mut out = Vec::new();
     frame::encode(&mut out, &Head::Hello(hello.clone()), &[]).expect("the frame is small");
-    let read = frame::decode(&mut BytesMut::from(&out[..])).expect("it can be read");
+    let read = frame::decode(&mut BytesMut::from(&out[..])).expect("the frame can be decoded");
     assert_eq!(read.map(|(head, _)| head), Some(Head::Hello(hello)));
 }
--- a/crates/mustardpin-wire/tests/testsuite/store.rs
+++ b/crates/mustardpin-wire/tests/testsuite/store.rs
@@ -72,7 +72,7 @@
 fn encoding_of_rows() {
     let mut text = String::new();
     for (row_key, value) in rows() {
-        let value = store::encode_value(&value).expect("it can be written");
+        let value = store::encode_value(&value).expect("the value can be encoded");
         writeln!(text, "{} {}", store::encode_key(&row_key), String::from_utf8_lossy(&value))
             .unwrap();
     }
@@ -83,9 +83,9 @@
 fn rows_round_trip() {
     for (row_key, value) in rows() {
         let key = store::encode_key(&row_key);
-        let bytes = store::encode_value(&value).expect("it can be written");
-        assert_eq!(store::decode_key(&key).expect("it can be read"), row_key);
-        assert_eq!(store::decode_value(&row_key, &bytes).expect("it can be read"), value);
+        let bytes = store::encode_value(&value).expect("the value can be encoded");
+        assert_eq!(store::decode_key(&key).expect("the key can be decoded"), row_key);
+        assert_eq!(store::decode_value(&row_key, &bytes).expect("the value can be decoded"), value);
     }
 }
 
