--- a/crates/mustardpin-standin/src/http.rs
+++ b/crates/mustardpin-standin/src/http.rs
@@ -78,7 +78,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, handler: Arc<dyn Handler>) {
-    let _nagle_stays_on = stream.set_nodelay(true);
+    let _nodelay_result = stream.set_nodelay(true);
     let service = service_fn(move |request| Arc::clone(&handler).respond(request));
     let builder = auto::Builder::new(TokioExecutor::new());
     let _aborted_or_closed = builder.serve_connection(TokioIo::new(stream), service).await;
--- a/crates/mustardpin-standin/src/platform/handler.rs
+++ b/crates/mustardpin-standin/src/platform/handler.rs
@@ -48,9 +48,9 @@
             Behaviour::Slow => tokio::time::sleep(Duration::from_millis(mode.delay_ms)).await,
             Behaviour::Up | Behaviour::LoseAnswer => {}
         }
-        let writes = request.method() != Method::GET;
+        let is_write = request.method() != Method::GET;
         let response = self.handle_operation(request).await?;
-        if writes && mode.mode == Behaviour::LoseAnswer {
+        if is_write && mode.mode == Behaviour::LoseAnswer {
             return Err(Aborted);
         }
         Ok(response)
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Long poll: waits for changes for at most the wait of the query. Without any, replies with the
-    /// newest version and no rows.
+    /// Long poll: waits for changes for at most the wait of the query. Without any, replies with
+    /// the newest version and no rows.
     async fn feed(&self, query: Query) -> Result<Response<Body>, Aborted> {
         let wait = Duration::from_millis(query.wait_ms);
         let changes = self.query_control(|reply| Event::Feed(query, reply));
--- a/crates/mustardpin-standin/src/target/response_body.rs
+++ b/crates/mustardpin-standin/src/target/response_body.rs
@@ -184,7 +184,7 @@
 impl Sender {
     async fn next(&mut self) -> Option<Result<Frame<Bytes>, Aborted>> {
         if self.cut_at.is_some_and(|cut_at| self.sent >= cut_at) {
-            // Gives the bytes before the cut time to leave the socket.
+            // The pause lets the bytes before the cut leave the socket.
             tokio::time::sleep(Duration::from_millis(20)).await;
             return Some(Err(Aborted));
         }
--- a/crates/mustardpin-virtual/examples/control_traffic.rs
+++ b/crates/mustardpin-virtual/examples/control_traffic.rs
@@ -18,7 +18,7 @@
 const START_PHASE: Millis = Millis::from_secs(30);
 /// Virtual time that each phase is measured for.
 const PHASE: Millis = Millis::from_secs(10);
-/// The longest virtual time of a phase that waits for a change to reach all nodes.
+/// The maximum virtual time of a phase that waits for a change to reach all nodes.
 const MAX_PHASE: Millis = Millis::from_secs(30);
 /// The interval between two checks of all nodes.
 const CHECK_INTERVAL: Millis = Millis(20);
--- a/crates/mustardpin-virtual/src/experiment.rs
+++ b/crates/mustardpin-virtual/src/experiment.rs
@@ -106,7 +106,7 @@
                 self.fleet.target(site).slowdown = 5.0;
             }
         }
-        if self.scenario.kills() {
+        if self.scenario.crashes_targets() {
             for &site in sites.iter().step_by(2) {
                 self.fleet.crash_target(site);
             }
@@ -121,7 +121,7 @@
         for &site in &sites {
             self.fleet.target(site).slowdown = 1.0;
         }
-        if self.scenario.kills() {
+        if self.scenario.crashes_targets() {
             for &site in sites.iter().step_by(2) {
                 self.fleet.restart_target(site);
             }
--- a/crates/mustardpin-virtual/src/experiment/deployment.rs
+++ b/crates/mustardpin-virtual/src/experiment/deployment.rs
@@ -42,7 +42,7 @@
 }
 
 const DATA_CENTRES: [&str; 3] = ["one", "two", "three"];
-/// A rate per second far above the demand of any team.
+/// A rate, in requests per second, far above the demand of any team.
 const NO_LIMIT: u32 = 1_000_000;
 /// The weights of eight teams, a few of them large.
 const TEAMS: [u32; 8] = [30, 25, 15, 10, 8, 6, 4, 2];
@@ -153,8 +153,8 @@
 
     /// Returns the service that runs the requests of a demand, given by its index.
     fn service_of(&self, index: usize) -> &str {
-        // The first path goes directly to the deep service. The services of the next two call it, and
-        // that of the last doesn't need it.
+        // The first path goes directly to the deep service. The services of the next two call it,
+        // and that of the last doesn't need it.
         match index {
             0 => self.deep_service,
             1 => &self.services[1].0.name,
--- a/crates/mustardpin-virtual/src/experiment/result.rs
+++ b/crates/mustardpin-virtual/src/experiment/result.rs
@@ -128,7 +128,8 @@
         self.served_of(|sent| sent.team == team).1
     }
 
-    /// Returns the lowest share served of any team except one.
+    /// Returns the lowest share, over all teams except one, of a team's requests sent during the
+    /// overload that was served.
     pub fn min_served_share_except(&self, excluded: usize) -> f64 {
         (0..self.teams)
             .filter(|&team| team != excluded)
@@ -136,7 +137,8 @@
             .fold(1.0, f64::min)
     }
 
-    /// Returns the share of the requests of all teams except one that was not served.
+    /// Returns the share of requests of all teams except one, sent during the overload, that was
+    /// not served.
     pub fn unserved_share_except(&self, excluded: usize) -> f64 {
         1.0 - self.served_of(|sent| sent.team != excluded).1
     }
--- a/crates/mustardpin-virtual/src/experiment/scenario.rs
+++ b/crates/mustardpin-virtual/src/experiment/scenario.rs
@@ -36,7 +36,7 @@
         matches!(self, Scenario::Slow | Scenario::Everything | Scenario::EverythingNoPlatform)
     }
 
-    pub(super) fn kills(self) -> bool {
+    pub(super) fn crashes_targets(self) -> bool {
         matches!(self, Scenario::Halved | Scenario::Everything | Scenario::EverythingNoPlatform)
     }
 
--- a/crates/mustardpin-virtual/src/fleet.rs
+++ b/crates/mustardpin-virtual/src/fleet.rs
@@ -274,7 +274,8 @@
         self.end_links_to(site);
     }
 
-    /// Starts a new process at a site, with a new id and no state.
+    /// Kills a node's process and starts a new one, with a new id and no state. The target at the
+    /// site is restarted too.
     pub fn restart(&mut self, site: Site) {
         self.kill(site);
         let epoch = self.nodes[site.0].epoch;
--- a/crates/mustardpin-virtual/src/fleet/caller.rs
+++ b/crates/mustardpin-virtual/src/fleet/caller.rs
@@ -1,17 +1,17 @@
-//! Root requests as tests send them, and the responses that their callers receive.
+//! Requests, and the responses that the callers of root requests receive.
 
 use mustardpin_world::{Millis, refusal::Outcome, request::Verdict};
 
 use crate::fleet::Site;
 
-/// A request as a test sends it.
+/// A request that a caller or a target sends to a node.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Request {
     /// The HTTP method.
     pub method: String,
     /// The path of the request.
     pub path: String,
-    /// The tenant key, `ID.SECRET`.
+    /// The tenant key, `ID.SECRET`; `None` in calls of targets.
     pub key: Option<String>,
     /// The digest of the request; a resent request has the same one.
     pub fingerprint: u64,
@@ -60,7 +60,7 @@
     pub sent: Millis,
     /// When the response arrived, or the connection broke.
     pub at: Millis,
-    /// The verdict; `None` if the connection broke.
+    /// The verdict; `None` if the connection broke, or if the target responded with a server error.
     pub verdict: Option<Verdict>,
     /// The body of a complete response of a target.
     pub body: Option<Vec<u8>>,
--- a/crates/mustardpin-virtual/src/network.rs
+++ b/crates/mustardpin-virtual/src/network.rs
@@ -26,7 +26,7 @@
 pub struct Network {
     /// The one-way delays of messages.
     pub delay: Delay,
-    /// The largest random delay added to each message between worlds.
+    /// The maximum random delay added to each message between worlds.
     pub jitter: Millis,
     /// The probability that a message between worlds is lost, from 0 to 1.
     pub loss: f64,
--- a/crates/mustardpin-virtual/tests/testsuite/bookings.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/bookings.rs
@@ -1,4 +1,5 @@
-//! A fleet that takes bookings, and checks that no booking runs twice for one sending.
+//! A fleet that takes bookings, and the checks that a booking runs at most once for each time it is
+//! sent.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/mustardpin-virtual/tests/testsuite/freshness.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/freshness.rs
@@ -16,7 +16,7 @@
 const GRACE: Millis = Millis::from_secs(8);
 /// The maximum time from the platform's recovery until requests with keys are served again.
 const MAX_RECOVERY_TIME: Millis = Millis::from_secs(2);
-/// The freshness window plus the time between two ticks.
+/// The age at which configuration counts as stale here: 25 ms below the default freshness window.
 const MAX_CONFIGURATION_AGE: Millis = Millis(2_600);
 
 type Cut = fn(&mut Scenario);
--- a/crates/mustardpin-virtual/tests/testsuite/overload.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/overload.rs
@@ -143,8 +143,8 @@
     assert_eq!(after, [450, 150]);
 }
 
-/// Cost estimates of peers may contain cycles of routes that call each other. Following them must
-/// not make the cost of a request take longer to compute.
+/// Cost estimates of peers may contain cycles of routes that call each other. The cost of a
+/// request must still be computed in bounded time.
 #[test]
 fn cyclic_cost_estimates_are_evaluated_in_bounded_time() {
     const ROUTES: usize = 8;
--- a/src/error.rs
+++ b/src/error.rs
@@ -55,7 +55,7 @@
     #[display("the node cannot start")]
     Node(mustardpin_node::Error),
     /// The asynchronous runtime could not be started.
-    #[display("cannot start")]
+    #[display("cannot start the asynchronous runtime")]
     Runtime(std::io::Error),
 }
 
--- a/tests/testsuite/keys.rs
+++ b/tests/testsuite/keys.rs
@@ -9,8 +9,8 @@
 
 use crate::fleet::{CallerRequest, CallerResponse, Fleet, slot};
 
-/// The time after which a withdrawn key must be refused everywhere.
-const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The maximum time from a withdrawal until the key is refused everywhere.
+const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_secs(3);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn withdrawn_on_open_connections() {
@@ -31,7 +31,7 @@
     let started = Instant::now();
     let output = fleet.run_successfully(&["keys", "withdraw", "garage-1"]);
     assert!(output.contains("in force"), "{output}");
-    tokio::time::sleep(WITHDRAWAL_TIMEOUT.saturating_sub(started.elapsed())).await;
+    tokio::time::sleep(MAX_WITHDRAWAL_DELAY.saturating_sub(started.elapsed())).await;
 
     for (address, caller) in &callers {
         let response = CallerRequest::get("/slots", &key).send(caller, *address).await;
--- a/tests/testsuite/soak.rs
+++ b/tests/testsuite/soak.rs
@@ -1,7 +1,7 @@
 //! A randomized soak test: a fleet of processes under load and a random schedule of overlapping
 //! faults. The promises are checked against the responses of callers and the runs of targets.
 //!
-//! `MUSTARDPIN_SOAK_SEEDS=FIRST..LAST` sets the seeds, excluding the last one, and
+//! `MUSTARDPIN_SOAK_SEEDS=FIRST..LAST` sets the seeds, without LAST, and
 //! `MUSTARDPIN_SOAK_SECONDS` the length of the schedule of each seed. CI sets neither.
 
 mod fault;
--- a/tests/testsuite/soak/fault.rs
+++ b/tests/testsuite/soak/fault.rs
@@ -21,7 +21,7 @@
     pub nodes: usize,
 }
 
-/// A fault, with the node, link or store that it affects.
+/// A fault of a node, a target, a link or the store, or the withdrawal of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// A node is killed, and restarted at the end of the fault.
@@ -48,14 +48,14 @@
     Withdraw,
 }
 
-/// A fault of one slot, with its start and end.
+/// A scheduled fault, with its start and end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Row {
     /// Start of the fault, since the start of the load.
     pub at: Duration,
     /// End of the fault, since the start of the load.
     pub until: Duration,
-    /// Index of the slot of the affected node.
+    /// Index of the affected slot; ignored for faults of the store and for the withdrawal.
     pub slot: usize,
     /// The fault to inject.
     pub fault: Fault,
