--- a/crates/mustardpin-node/src/log.rs
+++ b/crates/mustardpin-node/src/log.rs
@@ -122,8 +122,8 @@
         }
         self.dropped += self.writer.take_failed();
         if self.dropped > 0 {
-            let report = Entry::new(Level::Warn, "lines_left_out").with("count", self.dropped);
-            if self.writer.send(report) {
+            let count_entry = Entry::new(Level::Warn, "lines_left_out").with("count", self.dropped);
+            if self.writer.send(count_entry) {
                 self.dropped = 0;
             }
         }
--- a/crates/mustardpin-standin/src/load/inspect.rs
+++ b/crates/mustardpin-standin/src/load/inspect.rs
@@ -52,7 +52,7 @@
     inspection.ran = runs.len();
     inspection.keys_seen = keys_seen(&runs, &keys);
     inspection.run_twice = run_twice(&runs);
-    inspection.run_despite_refusal = count_runs(&runs, not_run);
+    inspection.run_despite_refusal = count_used_keys(&runs, not_run);
     inspection
 }
 
@@ -73,12 +73,12 @@
     headers.filter(|header| secrets.iter().any(|secret| header.value.contains(secret))).count()
 }
 
-/// Counts the idempotency keys under which a request ran.
+/// Counts the given idempotency keys under which at least one request ran.
 ///
 /// ```
-/// assert_eq!(mustardpin_standin::load::inspect::count_runs(&[], &["booking-1".into()]), 0);
+/// assert_eq!(mustardpin_standin::load::inspect::count_used_keys(&[], &["booking-1".into()]), 0);
 /// ```
-pub fn count_runs(runs: &[Run], keys: &[CompactString]) -> usize {
+pub fn count_used_keys(runs: &[Run], keys: &[CompactString]) -> usize {
     let ran: HashSet<&CompactString> =
         runs.iter().filter_map(|run| run.idempotency_key.as_ref()).collect();
     keys.iter().filter(|key| ran.contains(key)).count()
--- a/crates/mustardpin-virtual/src/lib.rs
+++ b/crates/mustardpin-virtual/src/lib.rs
@@ -15,5 +15,5 @@
     fleet::{Fleet, Received, Request, Site},
     network::{Delay, Network},
     platform::{Platform, PlatformMode},
-    target::{COLD_FACTOR, Reports, RunRecord, Service, Target},
+    target::{COLD_START_FACTOR, Reports, RunRecord, Service, Target},
 };
--- a/crates/mustardpin-virtual/src/target.rs
+++ b/crates/mustardpin-virtual/src/target.rs
@@ -28,14 +28,14 @@
     pub parallel: bool,
     /// Whether a target stops running a request that is cancelled.
     pub cancellable: bool,
-    /// How long after its start a target is slower by [`COLD_FACTOR`].
+    /// How long after its start a target is slower by [`COLD_START_FACTOR`].
     pub cold_start: Millis,
     /// How accurately a target reports its slots and load.
     pub reports: Reports,
 }
 
 /// Factor on the service time of a cold target.
-pub const COLD_FACTOR: f64 = 4.0;
+pub const COLD_START_FACTOR: f64 = 4.0;
 
 /// How accurately a target reports its slots and load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -176,7 +176,8 @@
     /// Draws a service time from its distribution.
     pub(crate) fn sample_service_time(&self, now: Millis, rng: &mut Pcg64Mcg) -> Millis {
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
-        let cold = if now < self.started + self.service.cold_start { COLD_FACTOR } else { 1.0 };
+        let cold =
+            if now < self.started + self.service.cold_start { COLD_START_FACTOR } else { 1.0 };
         Millis((-uniform.ln() * self.service.mean_ms * self.slowdown * cold).round() as u64)
     }
 
--- a/crates/mustardpin-virtual/tests/testsuite/drain.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/drain.rs
@@ -7,8 +7,8 @@
 
 use crate::scenario::{Scenario, for_seeds};
 
-/// The time after which a draining target gets no new requests.
-const NO_NEW_REQUESTS_AFTER: Millis = Millis::from_secs(3);
+/// The maximum time from the start of draining until the target gets no new requests.
+const MAX_EXCLUSION_DELAY: Millis = Millis::from_secs(3);
 /// The maximum duration of a graceful shutdown, which waits until all requests have responses.
 const MAX_STOP_DURATION: Millis = Millis::from_secs(12);
 /// Slows targets down so that a request takes 100 ms on average and targets are half busy.
@@ -58,7 +58,7 @@
     let start = scenario.fleet.now;
     scenario.fleet.stop(site);
     while !scenario.fleet.has_exited(site) && scenario.fleet.now < start + MAX_STOP_DURATION {
-        let excluded = Some(site).filter(|_| scenario.fleet.now >= start + NO_NEW_REQUESTS_AFTER);
+        let excluded = Some(site).filter(|_| scenario.fleet.now >= start + MAX_EXCLUSION_DELAY);
         scenario.load_excluding(excluded, Millis(50));
     }
     scenario.fleet.now - start
@@ -87,7 +87,7 @@
             );
             leave(&mut scenario, site);
             scenario.load_for(Millis::from_secs(8));
-            let late_runs = runs_at(&scenario, site, start + NO_NEW_REQUESTS_AFTER);
+            let late_runs = runs_at(&scenario, site, start + MAX_EXCLUSION_DELAY);
             assert_eq!(late_runs, 0, "{name}, seed {seed}: runs after 3 s");
             scenario.fleet.run_for(Millis::from_secs(12));
             assert_eq!(violations_of(&scenario), [""; 0], "{name}, seed {seed}");
@@ -153,7 +153,7 @@
         let start = scenario.fleet.now;
         let took = stop(&mut scenario, site);
         assert!(scenario.fleet.has_exited(site), "seed {seed}: has not exited after {took}");
-        let late_runs = runs_at(&scenario, site, start + NO_NEW_REQUESTS_AFTER);
+        let late_runs = runs_at(&scenario, site, start + MAX_EXCLUSION_DELAY);
         assert_eq!(late_runs, 0, "seed {seed}: runs after 3 s");
         scenario.fleet.run_for(Millis::from_secs(12));
         assert_eq!(violations_of(&scenario), [""; 0], "seed {seed}");
--- a/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
+++ b/crates/mustardpin-virtual/tests/testsuite/quarantine.rs
@@ -88,8 +88,8 @@
             let root = bookings.fleet.send(site, get("/look/slots", fingerprint));
             bookings.fleet.run_for(Millis(500));
             let response = bookings.fleet.response_to(root);
-            let is_complete = response.is_some_and(|received| received.is_complete());
-            assert!(is_complete, "seed {seed}, request {fingerprint}: {response:?}");
+            let completed = response.is_some_and(|received| received.is_complete());
+            assert!(completed, "seed {seed}, request {fingerprint}: {response:?}");
         }
     }
 }
